--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -1,11 +1,11 @@
-// Package claim defines the durable record of a submission: who owns it, in
-// which epoch, where its tasks may have been started, and how it ended.
+// Package claim defines the claim, the durable record of a submission with a caller's key: which
+// entry owns it, in which epoch, at which agents its tasks may have started, and how it ended.
 //
-// There is one row for each submission key. An entry inserts it before any
-// task starts, replaces it by compare-and-set on its version to take it over
-// (epoch + 1), to add candidate agents, or to record the outcome. Each write
-// carries a fresh nonce: when the answer to a write is lost, the same write is
-// repeated, and a mismatch that shows the writer's own nonce means success.
+// The table holds one row for each key. An entry inserts the row before any task starts. It
+// replaces the row by compare-and-set on its version to take the submission over (epoch + 1), to
+// add candidate agents, or to record the outcome. Each write carries a fresh nonce: when the
+// answer to a write is lost, the same write is repeated, and a mismatch that shows the writer's
+// own nonce means that the write was applied.
 package claim
 
 import (
@@ -21,15 +21,19 @@
 // Phase is the state of a claim.
 type Phase uint8
 
-// Phases of a claim. Void means that the submission was refused and provably
-// never ran; a resubmission may claim it again with the next epoch.
+// Phases of a claim.
 const (
+	// Running: the owner may start tasks.
 	Running Phase = iota
+	// Closed: the submission has ended and the row holds its outcome.
 	Closed
+	// Void: the submission was refused and provably never ran. A resubmission may claim it again
+	// with the next epoch.
 	Void
 )
 
-// Candidate is an agent at which tasks of the submission may have started.
+// Candidate is an agent at which tasks of the submission may start. An owner starts tasks only at
+// candidates that an applied write has recorded.
 type Candidate struct {
 	ID      rank.ID `cbor:"1,keyasint"`
 	Address string  `cbor:"2,keyasint"`
@@ -37,29 +41,31 @@
 
 // Row is the content of a claim.
 type Row struct {
+	// Submission is the name returned by Keyed.
 	Submission string `cbor:"1,keyasint"`
 	// Digest identifies the request; the same key with another digest is a conflict.
 	Digest uint64 `cbor:"2,keyasint"`
 	// Owner is the entry incarnation that may start tasks in Epoch.
 	Owner wire.EntryInfo `cbor:"3,keyasint"`
-	Epoch uint64         `cbor:"4,keyasint"`
-	// Nonce is fresh for each write.
+	// Epoch is the fencing token: it rises with each change of owner, and agents refuse lower ones.
+	Epoch uint64 `cbor:"4,keyasint"`
+	// Nonce is a random number that identifies the write.
 	Nonce uint64 `cbor:"5,keyasint"`
 	Phase Phase  `cbor:"6,keyasint"`
-	// Candidates are all agents to fence at a takeover.
+	// Candidates are all agents that must be fenced at a takeover.
 	Candidates []Candidate `cbor:"7,keyasint"`
 	// Tasks is the number of tasks.
 	Tasks uint32 `cbor:"8,keyasint"`
-	// Deadline is by the clock of the entry that wrote the row; it only decides
-	// when a sweep closes an orphan, never who may start a task.
+	// Deadline is by the clock of the entry that wrote the row. It only decides when the claim of a
+	// lost owner is closed, never who may start a task.
 	Deadline time.Time `cbor:"9,keyasint"`
 	// Outcome is set in phase Closed.
 	Outcome *wire.Outcome `cbor:"10,keyasint"`
-	// Request is the encoded request of a submission accepted for later
-	// polling, so that another entry can resume it; empty otherwise.
+	// Request is the encoded request of a submission that the caller polls for, so that another
+	// entry can resume it. It is empty if the caller waits for the answer.
 	Request []byte `cbor:"11,keyasint"`
-	// Blob names the object that holds the whole row if it is too large for
-	// the table; then Outcome and Request are absent here.
+	// Blob names the object that holds the whole row if that is too large for the table. Outcome
+	// and Request are then absent here.
 	Blob string `cbor:"12,keyasint"`
 }
 
@@ -80,36 +86,36 @@
 	Row *Row
 	// IfVersion is the version to replace; 0 means that no row may exist.
 	IfVersion uint64
-	// Expires is when the writer no longer wants an unsent write to be sent;
-	// zero means never.
+	// Expires is the time from which the write must not be sent if it has not been sent before. A
+	// zero time means that it never expires.
 	Expires time.Time
 }
 
-// Status is what is known of a write.
+// Status is what is known about a write.
 type Status uint8
 
 // Statuses of a write. Unknown is followed by a definite one later.
 const (
-	// Applied: the row is as written, at Version.
+	// Applied: the row is stored as written, at Result.Version.
 	Applied Status = iota
-	// Mismatch: another row is in force, given with its version.
+	// Mismatch: the table holds another version of the row, given in Result.Current, or no row.
 	Mismatch
-	// NotSent: the write was withdrawn before it was sent.
+	// NotSent: the write expired before it was sent and has no effect.
 	NotSent
-	// Unknown: sent, fate not yet known.
+	// Unknown: the write was sent; it is not known yet whether it took effect.
 	Unknown
 )
 
-// Result is the fate of a write.
+// Result reports the status of a write.
 type Result struct {
 	Submission string
 	// Nonce is that of the write.
 	Nonce  uint64
 	Status Status
-	// Version is that of the row now in force.
+	// Version is that of the row now in the table.
 	Version uint64
-	// Current is the row in force after a Mismatch.
+	// Current is the row in the table after a Mismatch, or nil if there is none.
 	Current *Row
-	// Outage is true if the table service did not answer, for NotSent.
+	// Outage is set with NotSent if the table service does not answer.
 	Outage bool
 }
--- a/core/claim/submission.go
+++ b/core/claim/name.go
@@ -2,22 +2,25 @@
 
 import "strings"
 
-// Prefixes of submission names: keyed ones are shared by all entries.
+// Prefixes of submission names. All entries share the names of keyed submissions; an unkeyed
+// submission belongs to the entry in its name.
 const (
 	keyedPrefix   = "c/"
 	unkeyedPrefix = "u/"
 )
 
-// Keyed returns the name of a team's submission with a caller's key.
+// Keyed returns the name of the submission that a team made under a caller's key. The name
+// identifies the claim.
 func Keyed(team, key string) string { return TeamPrefix(team) + key }
 
 // TeamPrefix returns the prefix of the names of a team's keyed submissions.
 func TeamPrefix(team string) string { return keyedPrefix + team + "/" }
 
-// Unkeyed returns the name of a submission without a key, unique by its serial.
+// Unkeyed returns the name of a submission without a key. The serial makes it unique within the
+// entry.
 func Unkeyed(entry, serial string) string { return unkeyedPrefix + entry + "/" + serial }
 
-// TeamOf returns the team and key of a keyed submission.
+// TeamOf splits the name of a keyed submission into team and key.
 func TeamOf(submission string) (team, key string) {
 	rest := strings.TrimPrefix(submission, keyedPrefix)
 	team, key, _ = strings.Cut(rest, "/")
