--- a/core/fair/queue.go
+++ b/core/fair/queue.go
@@ -1,59 +1,65 @@
-// Package fair orders waiting tasks by weighted fair sharing among teams
-// (start-time fair queueing), and within a team by class.
+// Package fair implements a queue with weighted fair sharing among teams (start-time fair
+// queueing), which orders the items of each team by class.
 //
-// Teams come before classes: a team cannot take the share of another by calling
-// its work urgent. Tasks of one team that ask for different agents wait in
-// separate lanes, so that a task whose agents are all busy does not hold up the
-// others.
+// Teams come before classes, so that a team cannot take the share of another by declaring its work
+// urgent. Items of one team that need different agents wait in separate lanes, which prevents
+// head-of-line blocking: an item whose agents are all busy does not hold up the others. A lane is a
+// first-in, first-out list of items that can be served by the same agents.
 package fair
 
 import "container/heap"
 
-// Item is a waiting value.
+// Item is a value with the properties that determine its place in the queue.
 type Item[T any] struct {
 	// Class orders the items of a team: lower values first.
 	Class uint8
 	Team  string
-	// Weight is the team's share; greater than 0.
+	// Weight is the team's share relative to the other teams; greater than 0.
 	Weight float64
-	// Lane names what the item asks for. Items of a lane and class keep their order.
+	// Lane names the set of agents that the item needs. Items of one lane and class keep their order.
 	Lane  string
 	Value T
 }
 
-// Verdict is the answer to an offer.
+// Verdict is the answer of the function passed to Scan about one item.
 type Verdict int
 
-// Verdicts. Blocked means that no other item of the lane can be taken now.
+// Verdicts.
 const (
+	// Taken removes the item from the queue.
 	Taken Verdict = iota
+	// Blocked keeps the item, and means that no other item of its lane can be taken in this scan.
 	Blocked
 )
 
-// Queue is a bounded queue. Not safe for concurrent use.
+// Queue is a bounded queue. It is not safe for concurrent use.
 type Queue[T any] struct {
 	limit int
 	size  int
-	// byClass counts items by class.
-	byClass map[uint8]int
-	// virtual is the start tag of the item taken last.
-	virtual float64
-	teams   map[string]*team[T]
-	active  teamHeap[T]
+	// countByClass is the number of items of each class.
+	countByClass map[uint8]int
+	// virtualTime is the highest start tag of the items taken so far.
+	virtualTime float64
+	// teams also holds teams without items, for their start tags; see maxIdleTeams.
+	teams map[string]*team[T]
+	// activeTeams are the teams with items, the lowest start tag first.
+	activeTeams teamHeap[T]
 }
 
 // team is the items of one team.
 type team[T any] struct {
 	name string
-	// tag is the virtual start time of the team's next item.
-	tag    float64
-	weight float64
-	size   int
-	// lanes are ordered by class, and within a class by the last take.
+	// startTag is the virtual start time of the team's next item. Each item taken raises it by the
+	// inverse of the team's weight.
+	startTag float64
+	weight   float64
+	size     int
+	// lanes are ordered by class. Within a class the lane served last comes last.
 	lanes []*lane[T]
 }
 
-// lane is a first-in first-out list of one class; it is removed when empty.
+// lane is a first-in, first-out list of the items of one class and lane name. Empty lanes are
+// removed.
 type lane[T any] struct {
 	name  string
 	class uint8
@@ -62,7 +68,7 @@
 
 // NewQueue returns a queue that holds at most limit items.
 func NewQueue[T any](limit int) *Queue[T] {
-	return &Queue[T]{limit: limit, byClass: make(map[uint8]int), teams: make(map[string]*team[T])}
+	return &Queue[T]{limit: limit, countByClass: make(map[uint8]int), teams: make(map[string]*team[T])}
 }
 
 // Len returns the number of items.
@@ -71,24 +77,24 @@
 // Free returns how many more items fit.
 func (q *Queue[T]) Free() int { return q.limit - q.size }
 
-// Ahead returns the number of items of the class or a more urgent one.
+// Ahead returns the number of items of the class and of more urgent ones, those of all teams.
 func (q *Queue[T]) Ahead(class uint8) int {
 	n := 0
-	for at, count := range q.byClass {
-		if at <= class {
+	for itemClass, count := range q.countByClass {
+		if itemClass <= class {
 			n += count
 		}
 	}
 	return n
 }
 
-// Push appends an item. It reports false if the queue is full.
+// Push appends an item to its lane. It returns false if the queue is full.
 func (q *Queue[T]) Push(item Item[T]) bool {
 	if q.size >= q.limit {
 		return false
 	}
 	q.size++
-	q.byClass[item.Class]++
+	q.countByClass[item.Class]++
 	t := q.teams[item.Team]
 	if t == nil {
 		t = &team[T]{name: item.Team}
@@ -97,74 +103,77 @@
 	t.weight = item.Weight
 	t.push(item)
 	if t.size == 1 {
-		t.tag = max(t.tag, q.virtual)
-		heap.Push(&q.active, t)
+		t.startTag = max(t.startTag, q.virtualTime)
+		heap.Push(&q.activeTeams, t)
 	}
 	return true
 }
 
-// Scan offers items in order until every lane is blocked or empty. Taken items
-// leave the queue; others keep their place.
+// Scan passes the items to try in their order until every lane is blocked or empty. It removes the
+// items that try takes; the others keep their place.
 func (q *Queue[T]) Scan(try func(T) Verdict) {
 	blocked := make(map[string]bool)
-	var aside []*team[T]
-	for q.active.Len() > 0 {
-		t := q.active[0]
-		l := t.open(blocked)
+	var skipped []*team[T]
+	for q.activeTeams.Len() > 0 {
+		t := q.activeTeams[0]
+		l := t.firstUnblockedLane(blocked)
 		switch {
 		case l == nil:
-			aside = append(aside, heap.Pop(&q.active).(*team[T]))
+			skipped = append(skipped, heap.Pop(&q.activeTeams).(*team[T]))
 		case try(l.items[0]) == Taken:
 			q.take(t, l)
 		default:
 			blocked[l.name] = true
 		}
 	}
-	for _, t := range aside {
-		heap.Push(&q.active, t)
+	for _, t := range skipped {
+		heap.Push(&q.activeTeams, t)
 	}
 }
 
-// take removes the first item of lane l of the team that is first.
+// take removes the first item of lane l of team t, which must be the first of the active teams.
 func (q *Queue[T]) take(t *team[T], l *lane[T]) {
 	q.size--
-	q.byClass[l.class]--
-	q.virtual = max(q.virtual, t.tag)
-	t.tag += 1 / t.weight
-	t.shift(l)
+	q.countByClass[l.class]--
+	q.virtualTime = max(q.virtualTime, t.startTag)
+	t.startTag += 1 / t.weight
+	t.removeFirst(l)
 	if t.size > 0 {
-		heap.Fix(&q.active, 0)
+		heap.Fix(&q.activeTeams, 0)
 		return
 	}
-	heap.Remove(&q.active, 0)
+	heap.Remove(&q.activeTeams, 0)
 	if len(q.teams) > maxIdleTeams {
 		delete(q.teams, t.name)
 	}
 }
 
-// maxIdleTeams bounds the tags remembered for teams without items.
+// maxIdleTeams is the number of teams above which a team is forgotten with its start tag when its
+// last item is taken.
 const maxIdleTeams = 1024
 
+// push appends the item to its lane, which it creates behind the lanes of its class if needed.
 func (t *team[T]) push(item Item[T]) {
 	t.size++
-	at := 0
-	for ; at < len(t.lanes) && t.lanes[at].class <= item.Class; at++ {
-		if l := t.lanes[at]; l.class == item.Class && l.name == item.Lane {
+	i := 0
+	for ; i < len(t.lanes) && t.lanes[i].class <= item.Class; i++ {
+		if l := t.lanes[i]; l.class == item.Class && l.name == item.Lane {
 			l.items = append(l.items, item.Value)
 			return
 		}
 	}
-	t.insert(at, &lane[T]{name: item.Lane, class: item.Class, items: []T{item.Value}})
+	t.insertLane(i, &lane[T]{name: item.Lane, class: item.Class, items: []T{item.Value}})
 }
 
-func (t *team[T]) insert(at int, l *lane[T]) {
+// insertLane inserts l at index at.
+func (t *team[T]) insertLane(i int, l *lane[T]) {
 	t.lanes = append(t.lanes, nil)
-	copy(t.lanes[at+1:], t.lanes[at:])
-	t.lanes[at] = l
+	copy(t.lanes[i+1:], t.lanes[i:])
+	t.lanes[i] = l
 }
 
-// open returns the first lane that is not blocked, or nil.
-func (t *team[T]) open(blocked map[string]bool) *lane[T] {
+// firstUnblockedLane returns the first lane whose name is not in blocked, or nil.
+func (t *team[T]) firstUnblockedLane(blocked map[string]bool) *lane[T] {
 	for _, l := range t.lanes {
 		if !blocked[l.name] {
 			return l
@@ -173,8 +182,8 @@
 	return nil
 }
 
-// shift removes the first item of l and moves l behind the lanes of its class.
-func (t *team[T]) shift(l *lane[T]) {
+// removeFirst removes the first item of l and moves l behind the other lanes of its class.
+func (t *team[T]) removeFirst(l *lane[T]) {
 	var zero T
 	l.items[0] = zero
 	l.items = l.items[1:]
@@ -189,19 +198,20 @@
 	if len(l.items) == 0 {
 		return
 	}
-	at := 0
-	for at < len(t.lanes) && t.lanes[at].class <= l.class {
-		at++
+	i := 0
+	for i < len(t.lanes) && t.lanes[i].class <= l.class {
+		i++
 	}
-	t.insert(at, l)
+	t.insertLane(i, l)
 }
 
+// teamHeap orders teams by start tag, then by name so that the order is deterministic.
 type teamHeap[T any] []*team[T]
 
 func (h teamHeap[T]) Len() int { return len(h) }
 func (h teamHeap[T]) Less(i, j int) bool {
-	if h[i].tag != h[j].tag {
-		return h[i].tag < h[j].tag
+	if h[i].startTag != h[j].startTag {
+		return h[i].startTag < h[j].startTag
 	}
 	return h[i].name < h[j].name
 }
--- a/core/fair/queue_test.go
+++ b/core/fair/queue_test.go
@@ -6,7 +6,7 @@
 	"github.com/matryer/is"
 )
 
-// drain takes n items and counts them by value.
+// drain takes up to n items and returns how many of each value it took.
 func drain(q *Queue[string], n int) map[string]int {
 	got := make(map[string]int)
 	q.Scan(func(v string) Verdict {
