--- a/core/group/bench_test.go
+++ b/core/group/bench_test.go
@@ -10,10 +10,10 @@
 	"peridotpick.example/core/claim"
 )
 
-// BenchmarkClaimDelay is the time from a claim's arrival to the answer of its
-// write, in virtual time, with a synced write of 5 ms and a budget of 250
-// transactions a second shared by the writers. Each job costs two writes, its
-// claim and its outcome.
+// BenchmarkClaimDelay measures the time from Add of a write to its result, in virtual time, with a
+// write latency of 5 ms and a budget of 250 transactions a second shared by the writers. Each job
+// costs two writes, its claim and its outcome. Reported are the quantiles of the delay and the
+// transactions a second of all writers.
 func BenchmarkClaimDelay(b *testing.B) {
 	cases := []struct {
 		name    string
@@ -30,7 +30,7 @@
 			var delays []time.Duration
 			var transactions float64
 			for b.Loop() {
-				delays, transactions = claimDelays(c.writers, c.jobs/float64(c.writers))
+				delays, transactions = simulateDelays(c.writers, c.jobs/float64(c.writers))
 			}
 			slices.Sort(delays)
 			ms := func(q float64) float64 {
@@ -44,15 +44,16 @@
 }
 
 const (
-	delayRun   = 20 * time.Second
-	delayStep  = 100 * time.Microsecond
-	writeTime  = 5 * time.Millisecond
-	outcomeGap = 300 * time.Millisecond
+	simulatedTime  = 20 * time.Second
+	simulationStep = 100 * time.Microsecond
+	writeLatency   = 5 * time.Millisecond
+	outcomeDelay   = 300 * time.Millisecond
 )
 
-// claimDelays runs one writer with Poisson arrivals of claims, each followed by
-// an outcome, and returns the delays of all writes and its transactions a second.
-func claimDelays(writers int, jobs float64) ([]time.Duration, float64) {
+// simulateDelays runs one of the writers with Poisson arrivals of jobs at the given rate a second.
+// Each job writes its claim and, outcomeDelay later, its outcome. It returns the delays of all
+// writes and the writer's transactions a second.
+func simulateDelays(writers int, jobs float64) ([]time.Duration, float64) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	g := New(DefaultParams())
 	g.SetShares(writers)
@@ -71,11 +72,11 @@
 	}
 	var flights []flight
 	var delays []time.Duration
-	for at := time.Duration(0); at < delayRun; at += delayStep {
+	for at := time.Duration(0); at < simulatedTime; at += simulationStep {
 		now := start.Add(at)
 		for next <= at {
 			add(now)
-			due = append(due, now.Add(outcomeGap))
+			due = append(due, now.Add(outcomeDelay))
 			next += time.Duration(rng.ExpFloat64() / jobs * float64(time.Second))
 		}
 		for len(due) > 0 && !due[0].After(now) {
@@ -91,8 +92,8 @@
 			delete(arrived, r.Nonce)
 		}
 		for group, _ := g.Next(now); group != nil; group, _ = g.Next(now) {
-			flights = append(flights, flight{group.ID, now.Add(writeTime)})
+			flights = append(flights, flight{group.ID, now.Add(writeLatency)})
 		}
 	}
-	return delays, float64(g.Stats().Transactions) / delayRun.Seconds()
+	return delays, float64(g.Stats().Transactions) / simulatedTime.Seconds()
 }
--- a/core/group/group_test.go
+++ b/core/group/group_test.go
@@ -16,7 +16,7 @@
 	return claim.Write{Row: &claim.Row{Submission: "s" + strconv.Itoa(n), Nonce: uint64(n)}, Expires: expires}
 }
 
-func TestGathersUnderTheBudget(t *testing.T) {
+func TestWritesAreGroupedUnderTheBudget(t *testing.T) {
 	is := is.New(t)
 	p := DefaultParams()
 	p.Budget = 10
@@ -42,7 +42,7 @@
 	is.True(writes >= 970)
 }
 
-func TestUnknownIsRepeatedAndNeverExpires(t *testing.T) {
+func TestUnknownWriteIsRepeatedAndNeverExpires(t *testing.T) {
 	is := is.New(t)
 	g := New(DefaultParams())
 	g.Add(write(1, start.Add(time.Second)))
@@ -58,7 +58,7 @@
 	is.Equal(r.Version, uint64(7))
 }
 
-func TestUnsentExpires(t *testing.T) {
+func TestUnsentWriteExpires(t *testing.T) {
 	is := is.New(t)
 	g := New(DefaultParams())
 	g.Add(write(1, start.Add(time.Second)))
@@ -71,7 +71,7 @@
 	is.Equal(g.Results()[0].Status, claim.NotSent)
 }
 
-func TestConflictKeepsTheOthers(t *testing.T) {
+func TestConflictRequeuesTheOtherWrites(t *testing.T) {
 	is := is.New(t)
 	g := New(DefaultParams())
 	g.Add(write(1, time.Time{}))
@@ -85,7 +85,7 @@
 	is.Equal(group.Writes[0].Row.Submission, "s2")
 }
 
-func TestOutageRefusesEarly(t *testing.T) {
+func TestOutageRejectsExpiringWritesAtOnce(t *testing.T) {
 	is := is.New(t)
 	p := DefaultParams()
 	g := New(p)
