--- a/core/dispatch/bench_test.go
+++ b/core/dispatch/bench_test.go
@@ -11,8 +11,8 @@
 	"peridotpick.example/wire"
 )
 
-// BenchmarkJobMemory is the memory of a claimed job of 140 tasks that waits or
-// runs, without its payloads, and the size of its claim.
+// BenchmarkJobMemory measures the heap memory of a claimed submission of 140 tasks that waits or
+// runs, without its payloads, and the encoded size of its claim.
 func BenchmarkJobMemory(b *testing.B) {
 	const jobs = 500
 	const tasks = 140
@@ -48,6 +48,7 @@
 	}
 }
 
+// heapBytes returns the size of the live heap objects after a garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/core/dispatch/claims.go
+++ b/core/dispatch/claims.go
@@ -9,289 +9,306 @@
 	"peridotpick.example/wire"
 )
 
-// claimMargin is how long before the deadline an unsent claim is withdrawn, so
-// that the refusal still reaches the caller in time.
+// claimMargin is how long before the deadline an unsent claim expires, so that the refusal reaches
+// the caller in time.
 const claimMargin = 20 * time.Millisecond
 
-// lookup is a refusal that waits for a look at the claim: an earlier
-// submission with the key may have run, or run now, elsewhere.
-type lookup struct {
+// pendingRefusal is a refusal that waits for a read of the claim: another entry may have run, or may
+// be running, an earlier submission with the key. The caller is then attached to that.
+type pendingRefusal struct {
 	request *Request
 	refusal *wire.Outcome
 }
 
-func (c *Core) lookUp(r *Request, refusal *wire.Outcome) {
-	waiting := c.lookups[r.Submission]
+// refuseAfterClaimRead answers r with a refusal unless a read of the claim shows that the submission
+// exists.
+func (c *Core) refuseAfterClaimRead(r *Request, refusal *wire.Outcome) {
+	waiting := c.pendingRefusals[r.Submission]
 	if len(waiting) == 0 {
 		c.out.Reads = append(c.out.Reads, r.Submission)
 	}
-	c.lookups[r.Submission] = append(waiting, lookup{r, refusal})
+	c.pendingRefusals[r.Submission] = append(waiting, pendingRefusal{r, refusal})
 }
 
-// ClaimRead ends the lookups of a submission. known is false if the table
-// service did not answer; row is nil if there is no claim.
-func (c *Core) ClaimRead(now time.Time, submission string, known bool, row *claim.Row, version uint64) {
-	waiting := c.lookups[submission]
-	delete(c.lookups, submission)
-	for _, l := range waiting {
-		r := l.request
+// ClaimRead handles the result of a read of Output.Reads. known is false if the table service did
+// not answer; row is nil if there is no claim.
+func (c *Core) ClaimRead(now time.Time, name string, known bool, row *claim.Row, version uint64) {
+	waiting := c.pendingRefusals[name]
+	delete(c.pendingRefusals, name)
+	for _, pending := range waiting {
+		r := pending.request
 		switch {
 		case known && (row == nil || row.Phase == claim.Void):
 			c.stats.Refused++
-			c.out.Answers = append(c.out.Answers, Answer{Request: r.ID, Outcome: l.refusal})
+			c.out.Answers = append(c.out.Answers, Answer{Request: r.ID, Outcome: pending.refusal})
 		case known:
-			c.attachClaim(now, r, row, version)
+			c.attachToRow(now, r, row, version)
 		default:
 			c.stats.Refused++
-			l.refusal.Unchecked = true
-			c.out.Answers = append(c.out.Answers, Answer{Request: r.ID, Outcome: l.refusal})
+			pending.refusal.Unchecked = true
+			c.out.Answers = append(c.out.Answers, Answer{Request: r.ID, Outcome: pending.refusal})
 		}
 	}
 }
 
-func (c *Core) attachClaim(now time.Time, r *Request, row *claim.Row, version uint64) {
-	j := c.jobs[r.Submission]
-	if j != nil {
-		c.attach(now, j, r)
+// attachToRow attaches r to the submission that the row describes.
+func (c *Core) attachToRow(now time.Time, r *Request, row *claim.Row, version uint64) {
+	sub := c.submissions[r.Submission]
+	if sub != nil {
+		c.attach(now, sub, r)
 		return
 	}
-	j = c.newJob(now, r)
-	j.waiters = []waiter{{r.ID, r.Async}}
-	c.adopt(now, j, row, version)
+	sub = c.newSubmission(now, r)
+	sub.waiters = []waiter{{r.ID, r.Async}}
+	c.followRow(now, sub, row, version)
 }
 
-// write sends a conditional write of j's row.
-func (c *Core) write(j *job, row *claim.Row, ifVersion uint64, expires time.Time) {
-	row.Submission = j.submission
-	row.Digest = j.digest
+// writeRow requests a write of sub's claim on the condition that the table holds version ifVersion
+// (0: no row). Only one write of a submission is pending at a time.
+func (c *Core) writeRow(sub *submission, row *claim.Row, ifVersion uint64, expires time.Time) {
+	row.Submission = sub.name
+	row.Digest = sub.digest
 	row.Owner = c.self
 	row.Nonce = c.rng.Uint64()
-	row.Tasks = uint32(len(j.specs))
-	row.Deadline = j.deadline
-	row.Request = j.stored
+	row.Tasks = uint32(len(sub.specs))
+	row.Deadline = sub.deadline
+	row.Request = sub.encodedRequest
 	w := claim.Write{Row: row, IfVersion: ifVersion, Expires: expires}
-	j.writing = &w
+	sub.pendingWrite = &w
 	c.out.Writes = append(c.out.Writes, w)
 }
 
-// writeFreshClaim inserts the claim, or learns by a mismatch who holds it.
-func (c *Core) writeFreshClaim(now time.Time, j *job) {
-	if j.writing != nil {
+// writeClaim requests the claim write that sub's phase needs, if none is pending: the outcome, more
+// candidates, or the insertion of a new claim. The insertion also serves to learn from the mismatch
+// which claim is in the table.
+func (c *Core) writeClaim(now time.Time, sub *submission) {
+	if sub.pendingWrite != nil {
 		return
 	}
-	switch j.phase {
+	switch sub.phase {
 	case phaseClosing:
-		c.writeOutcome(j)
+		c.writeOutcome(sub)
 		return
 	case phaseRunning:
-		c.widen(now, j)
+		c.widenClaim(now, sub)
 		return
 	}
-	j.phase = phaseClaiming
+	sub.phase = phaseClaiming
 	expires := now.Add(c.settings.ClaimWait)
-	if latest := j.deadline.Add(-claimMargin); latest.Before(expires) && !j.history {
-		expires = latest // with a history the write is to learn what is in force, also late
+	if latest := sub.deadline.Add(-claimMargin); latest.Before(expires) && !sub.mayHaveRunBefore {
+		expires = latest // if it may have run before, the claim is read by this write even after the deadline
 	}
-	c.write(j, &claim.Row{Epoch: 1, Candidates: c.plan(j)}, 0, expires)
+	c.writeRow(sub, &claim.Row{Epoch: 1, Candidates: c.planCandidates(sub)}, 0, expires)
 }
 
-// plan chooses candidate agents for the tasks of j: all feasible ones if they
-// are few, or enough for the tasks with some to spare.
-func (c *Core) plan(j *job) []claim.Candidate {
+// planCandidates chooses candidates for the tasks of sub: all feasible agents if they are few,
+// otherwise enough for the tasks and SpareCandidates more.
+func (c *Core) planCandidates(sub *submission) []claim.Candidate {
 	var picked []claim.Candidate
 	seen := make(map[rank.ID]bool)
-	for i := range j.specs {
-		if i > 0 && sameRequirement(&j.specs[i], &j.specs[i-1]) {
+	for i := range sub.specs {
+		if i > 0 && sameRequirement(&sub.specs[i], &sub.specs[i-1]) {
 			continue
 		}
-		for _, a := range c.pool.Best(j.specs[i].requirement(), len(j.specs), c.settings.Spares) {
+		for _, a := range c.pool.Best(sub.specs[i].requirement(), len(sub.specs), c.settings.SpareCandidates) {
 			if !seen[a.ID] {
 				seen[a.ID] = true
-				picked = append(picked, claim.Candidate{ID: a.ID, Address: c.address(a.ID)})
+				picked = append(picked, claim.Candidate{ID: a.ID, Address: c.agentAddress(a.ID)})
 			}
 		}
 	}
 	return picked
 }
 
+// sameRequirement reports whether a and b can run on the same agents.
 func sameRequirement(a, b *TaskSpec) bool {
 	return a.Service == b.Service && a.Selector.String() == b.Selector.String()
 }
 
-func (c *Core) address(id rank.ID) string {
-	if l := c.links[c.linked[id]]; l != nil {
-		return l.addr
+// agentAddress returns the address of a linked agent, or "".
+func (c *Core) agentAddress(id rank.ID) string {
+	if l := c.links[c.linkByAgent[id]]; l != nil {
+		return l.address
 	}
 	return ""
 }
 
-// ClaimWritten handles the fate of a write.
+// ClaimWritten handles the result of a write of Output.Writes.
 func (c *Core) ClaimWritten(now time.Time, r claim.Result) {
-	j := c.jobs[r.Submission]
-	if j == nil || j.writing == nil || j.writing.Row.Nonce != r.Nonce {
+	sub := c.submissions[r.Submission]
+	if sub == nil || sub.pendingWrite == nil || sub.pendingWrite.Row.Nonce != r.Nonce {
 		return
 	}
 	if r.Status == claim.Unknown {
-		// A definite fate follows, perhaps much later.
-		c.after(now.Add(c.settings.ClaimWait), timer{kind: timerUnknown, job: j, request: r.Nonce})
+		// A definite status follows, perhaps much later.
+		c.addTimer(now.Add(c.settings.ClaimWait), timer{kind: timerClaimUnknown, sub: sub, request: r.Nonce})
 		return
 	}
-	w := j.writing
-	j.writing = nil
+	w := sub.pendingWrite
+	sub.pendingWrite = nil
 	if r.Status == claim.Mismatch && r.Current != nil && r.Current.Nonce == w.Row.Nonce {
-		r.Status = claim.Applied // an answer was lost, the write was not
+		r.Status = claim.Applied // the answer to this write was lost
 	}
 	switch r.Status {
 	case claim.Applied:
-		j.version = r.Version
-		c.applied(now, j, w.Row)
+		sub.version = r.Version
+		c.handleApplied(now, sub, w.Row)
 	case claim.Mismatch:
-		c.mismatch(now, j, r)
+		c.handleMismatch(now, sub, r)
 	case claim.NotSent:
-		c.notSent(now, j, r.Outage)
+		c.handleNotSent(now, sub, r.Outage)
 	}
 }
 
-// claimStillUnknown answers the callers of a claim whose fate has been unknown
-// for too long, instead of holding them until their deadline.
-func (c *Core) claimStillUnknown(j *job, nonce uint64) {
-	if j.phase == phaseClaiming && j.writing != nil && j.writing.Row.Nonce == nonce {
-		c.giveUpClaim(j)
+// giveUpUnknownClaim answers the callers of a claim whose write has had an unknown status for too
+// long, so that they need not wait until their deadline.
+func (c *Core) giveUpUnknownClaim(sub *submission, nonce uint64) {
+	if sub.phase == phaseClaiming && sub.pendingWrite != nil && sub.pendingWrite.Row.Nonce == nonce {
+		c.giveUpClaim(sub)
 	}
 }
 
-// giveUpClaim answers the callers while the claim's fate is unknown. The job
-// stays until that is known, and then voids the claim.
-func (c *Core) giveUpClaim(j *job) {
-	j.gaveUp = true
-	c.answer(j, &wire.Outcome{Kind: errkind.FateUnknown, RetryAfter: time.Second,
+// giveUpClaim answers the callers although the status of the claim's write is unknown. The
+// submission stays until the status is known; if it was applied the claim is voided, or, after a
+// takeover, closed.
+func (c *Core) giveUpClaim(sub *submission) {
+	sub.claimGivenUp = true
+	c.answerWaiters(sub, &wire.Outcome{Kind: errkind.FateUnknown, RetryAfter: time.Second,
 		Detail: "the table service did not confirm the claim; ask again with the same key"})
 }
 
-func (c *Core) applied(now time.Time, j *job, row *claim.Row) {
-	j.candidates = row.Candidates
-	j.epoch = row.Epoch
-	switch j.phase {
+// handleApplied handles a claim write that was applied.
+func (c *Core) handleApplied(now time.Time, sub *submission, row *claim.Row) {
+	sub.candidates = row.Candidates
+	sub.epoch = row.Epoch
+	switch sub.phase {
 	case phaseClosing:
-		c.closingApplied(now, j, row)
-	case phaseTaking:
-		if j.gaveUp {
-			c.onlyGather(now, j)
+		c.handleClosingApplied(now, sub, row)
+	case phaseTakingOver:
+		if sub.claimGivenUp {
+			c.switchToGatherOnly(now, sub)
 		}
-		c.beginFencing(now, j)
+		c.beginFencing(now, sub)
 	case phaseRunning:
-		j.widening = false
-		c.resolveAmong(j)
+		sub.widening = false
+		c.resolveCandidates(sub)
 	case phaseClaiming:
-		c.claimApplied(now, j)
+		c.handleClaimApplied(now, sub)
 	}
 }
 
-func (c *Core) closingApplied(now time.Time, j *job, row *claim.Row) {
+// handleClosingApplied handles a write applied in phase closing. If it wrote the outcome, the callers
+// are answered.
+func (c *Core) handleClosingApplied(now time.Time, sub *submission, row *claim.Row) {
 	if row.Phase == claim.Running {
-		c.writeOutcome(j) // this was an earlier widening
+		c.writeOutcome(sub) // the write added candidates and was requested before the outcome was known
 		return
 	}
-	c.answer(j, j.outcome)
-	c.count(j.outcome)
-	c.end(now, j)
+	c.answerWaiters(sub, sub.outcome)
+	c.countOutcome(sub.outcome)
+	c.end(now, sub)
 }
 
-func (c *Core) claimApplied(now time.Time, j *job) {
+// handleClaimApplied starts a submission whose claim was inserted, unless it is no longer wanted.
+func (c *Core) handleClaimApplied(now time.Time, sub *submission) {
 	switch {
-	case j.gaveUp, !now.Before(j.deadline):
-		c.withdraw(now, j, &wire.Outcome{Kind: errkind.DeadlineTooShort})
-	case j.cancelAsked:
-		c.makeTasks(j)
-		c.fail(now, j, errkind.Canceled, "canceled before it started")
+	case sub.claimGivenUp, !now.Before(sub.deadline):
+		c.closeNotRun(now, sub, &wire.Outcome{Kind: errkind.DeadlineTooShort})
+	case sub.cancelRequested:
+		c.makeTasks(sub)
+		c.fail(now, sub, errkind.Canceled, "canceled before it started")
 	default:
-		c.accept(j)
-		c.resolveAmong(j)
-		c.start(now, j)
+		c.answerAsyncWaiters(sub)
+		c.resolveCandidates(sub)
+		c.startTasks(now, sub)
 	}
 }
 
-// mismatch handles a write that met another row.
-func (c *Core) mismatch(now time.Time, j *job, r claim.Result) {
-	if j.gaveUp || (len(j.waiters) == 0 && j.phase != phaseClaiming) {
-		c.abandon(j)
-		c.end(now, j)
+// handleMismatch handles a write whose condition was not met. It continues with the row in the table.
+func (c *Core) handleMismatch(now time.Time, sub *submission, r claim.Result) {
+	if sub.claimGivenUp || (len(sub.waiters) == 0 && sub.phase != phaseClaiming) {
+		c.dropLocalState(sub)
+		c.end(now, sub)
 		return
 	}
-	if j.phase == phaseRunning || j.phase == phaseClosing {
-		c.abandon(j)
+	if sub.phase == phaseRunning || sub.phase == phaseClosing {
+		c.dropLocalState(sub)
 	}
 	if r.Current == nil {
-		j.phase = phaseClaiming
-		c.later(now, j)
+		sub.phase = phaseClaiming
+		c.scheduleClaimWrite(now, sub)
 		return
 	}
-	c.adopt(now, j, r.Current, r.Version)
+	c.followRow(now, sub, r.Current, r.Version)
 }
 
-// notSent handles a write that never left this entry.
-func (c *Core) notSent(now time.Time, j *job, outage bool) {
-	if j.phase == phaseClaiming && !j.history {
+// handleNotSent handles a write that was not sent. A first claim is refused; other writes are
+// repeated while they are needed.
+func (c *Core) handleNotSent(now time.Time, sub *submission, outage bool) {
+	if sub.phase == phaseClaiming && !sub.mayHaveRunBefore {
 		kind := errkind.Overloaded
 		if outage {
 			kind = errkind.StoreUnavailable
 		}
-		c.stats.Refused += uint64(len(j.waiters))
-		c.answer(j, &wire.Outcome{Kind: kind, Unchecked: true, RetryAfter: time.Second,
+		c.stats.Refused += uint64(len(sub.waiters))
+		c.answerWaiters(sub, &wire.Outcome{Kind: kind, Unchecked: true, RetryAfter: time.Second,
 			Detail: "the claim could not be recorded; this request started nothing"})
-		c.end(now, j)
+		c.end(now, sub)
 		return
 	}
-	late := j.phase == phaseClaiming && !now.Before(j.deadline)
-	if j.gaveUp || late {
-		c.end(now, j)
+	late := sub.phase == phaseClaiming && !now.Before(sub.deadline)
+	if sub.claimGivenUp || late {
+		c.end(now, sub)
 		return
 	}
-	c.later(now, j)
+	c.scheduleClaimWrite(now, sub)
 }
 
-// later repeats the write that j's phase needs after a pause.
-func (c *Core) later(now time.Time, j *job) {
-	c.after(now.Add(c.settings.PeerRetry), timer{kind: timerReclaim, job: j})
+// scheduleClaimWrite requests the claim write that sub's phase needs after a pause.
+func (c *Core) scheduleClaimWrite(now time.Time, sub *submission) {
+	c.addTimer(now.Add(c.settings.PeerRetryPause), timer{kind: timerClaimWrite, sub: sub})
 }
 
-// close records the outcome of a claimed submission and then answers; an
-// unclaimed one is answered at once.
-func (c *Core) close(now time.Time, j *job, outcome *wire.Outcome) {
-	j.outcome = outcome
-	if !j.claimed {
-		c.answer(j, outcome)
-		c.count(outcome)
-		c.end(now, j)
+// close records the outcome of a claimed submission in its claim and then answers the callers. The
+// callers of an unclaimed submission are answered at once.
+func (c *Core) close(now time.Time, sub *submission, outcome *wire.Outcome) {
+	sub.outcome = outcome
+	if !sub.claimed {
+		c.answerWaiters(sub, outcome)
+		c.countOutcome(outcome)
+		c.end(now, sub)
 		return
 	}
-	j.phase = phaseClosing
-	c.writeOutcome(j)
+	sub.phase = phaseClosing
+	c.writeOutcome(sub)
 }
 
-// withdraw ends a submission of which nothing has run: its claim is voided
-// first, so that no other entry can pick it up after the refusal.
-func (c *Core) withdraw(now time.Time, j *job, refusal *wire.Outcome) {
+// closeNotRun closes a submission of which nothing has run with a refusal. Its claim is voided
+// first, so that no other entry can resume it after the refusal.
+func (c *Core) closeNotRun(now time.Time, sub *submission, refusal *wire.Outcome) {
 	refusal.Tasks = nil
 	if refusal.RetryAfter == 0 && errkind.Of(refusal.Kind).Retry {
 		refusal.RetryAfter = time.Second
 	}
-	c.close(now, j, refusal)
+	c.close(now, sub, refusal)
 }
 
-func (c *Core) writeOutcome(j *job) {
-	if j.writing != nil {
-		return // the fate of an earlier write comes first
+// writeOutcome requests the write that closes the claim with the outcome, or voids the claim if the
+// outcome states that nothing ran.
+func (c *Core) writeOutcome(sub *submission) {
+	if sub.pendingWrite != nil {
+		return // repeated once the result of the earlier write is known
 	}
-	row := &claim.Row{Epoch: j.epoch, Candidates: j.candidates, Phase: claim.Closed, Outcome: j.outcome}
-	if errkind.Of(j.outcome.Kind).Ran == errkind.NotRun {
+	row := &claim.Row{Epoch: sub.epoch, Candidates: sub.candidates, Phase: claim.Closed, Outcome: sub.outcome}
+	if errkind.Of(sub.outcome.Kind).Ran == errkind.NotRun {
 		row.Phase = claim.Void
 		row.Outcome = nil
 	}
-	c.write(j, row, j.version, time.Time{})
+	c.writeRow(sub, row, sub.version, time.Time{})
 }
 
-func (c *Core) count(outcome *wire.Outcome) {
+// countOutcome counts an outcome in the stats.
+func (c *Core) countOutcome(outcome *wire.Outcome) {
 	if outcome.Kind == errkind.OK {
 		c.stats.Completed++
 		return
--- a/core/dispatch/core.go
+++ b/core/dispatch/core.go
@@ -1,34 +1,41 @@
-// Package dispatch is the decision logic of an entry: it admits submissions,
-// claims them, places their tasks on agents, retries, hedges, gathers results,
-// takes submissions of lost entries over, and answers.
+// Package dispatch is the decision logic of an entry. It admits submissions, claims them, places
+// their tasks on agents, retries and hedges attempts, collects results, takes over the submissions
+// of lost entries, and answers callers.
 //
-// The Core is a deterministic state machine. Its methods are the events; they
-// change state only. Flush then lets the core act on all events received so
-// far and returns what to carry out. Time and randomness come in as arguments.
-// The core has no clock, socket, goroutine or log, and one goroutine owns it.
+// The Core is a deterministic state machine. Its event methods only change its state. Flush then
+// acts on all events received since the last call and returns what the caller has to carry out.
+// Time and randomness are arguments. The core has no clock, socket, goroutine or log, and is owned
+// by one goroutine.
+//
+// # Terms
+//
+// A submission is one call or job as the entry handles it; it consists of tasks. An attempt is one
+// start of a task at an agent. A claimed submission has a caller's key and a claim, a row in the
+// table service that names the entry which may start its tasks (its owner) and the candidates, the
+// agents at which the owner may start them. The owner's epoch is the fencing token: a fence is a
+// message that makes an agent refuse starts of lower epochs and report the attempts that it knows.
 //
 // # Life of a submission
 //
-// A submission without a key goes straight to phase running. One with a key is
-// claimed first: the core writes a claim row that lists the candidate agents
-// and starts nothing before the row is known to be applied. When all tasks have
-// completed, or one has failed for good, the outcome is written to the row
-// (phase closing), and only then callers are answered and agents told to forget
-// the results. Hence no crash lets two callers read two outcomes.
+// A submission without a key goes straight to phase running. One with a key is claimed first: the
+// core writes a claim that lists the candidates, and starts nothing before the write is known to
+// be applied. When all tasks have completed, or one has failed permanently, the outcome is written
+// to the claim (phase closing). Only then are callers answered and agents told to forget the
+// results. Therefore two callers never get two different outcomes, whichever process crashes.
 //
-// A submission whose key is already claimed attaches: the core asks the owner
-// for the outcome. If the owner is gone, it replaces the claim with the next
-// epoch and fences every candidate (phase fencing). Tasks that a candidate
-// reports as started are adopted. Tasks that no candidate reports may run anew,
-// unless a candidate is gone: then each unreported task may have started there.
+// If another entry has claimed the key, the core asks that owner for the outcome (phase awaiting
+// owner). If the owner is lost, the core replaces the claim with the next epoch (phase taking over)
+// and fences every candidate (phase fencing). Tasks that a candidate reports as started are
+// adopted: the attempt counts as the core's own. Tasks that no candidate reports may be started,
+// unless a candidate is lost: each unreported task may have started there.
 //
-// # May have started
+// # Tasks that may have started
 //
-// A task in doubt is started again only if it is declared repeatable, and, for
-// a claimed submission, only after its maximum run time has passed. Otherwise
-// its submission fails with FateUnknown. "Not run" is answered only if nothing
-// was ever sent, or all that was sent was refused by the agent that got it; for
-// a claimed submission the row is voided first.
+// A task is in doubt if an attempt of it may have started and its agent can no longer be asked. It
+// is started again only if it is declared repeatable and, for a claimed submission, only after its
+// maximum run time has passed. Otherwise its submission fails with FateUnknown. "Not run" is
+// answered only if no attempt was sent or every attempt was refused by the agent that received it;
+// for a claimed submission the claim is voided first.
 package dispatch
 
 import (
@@ -42,19 +49,20 @@
 	"peridotpick.example/wire"
 )
 
-// LinkID numbers the links of an entry; never 0.
+// LinkID identifies a link of an entry to an agent; never 0.
 type LinkID uint64
 
-// Send is a message for one link.
+// Send is a message to send on a link.
 type Send struct {
 	Link LinkID
 	Msg  *wire.ToAgent
 }
 
-// Answer ends one caller's request.
+// Answer is the answer to one caller's request.
 type Answer struct {
+	// Request is the Request.ID, or the ID passed to Watch.
 	Request uint64
-	// Outcome is nil for an asynchronous request whose submission is claimed.
+	// Outcome is nil for an asynchronous request, which is answered once its submission is claimed.
 	Outcome *wire.Outcome
 }
 
@@ -62,7 +70,7 @@
 type PeerAwait struct {
 	Submission string
 	Owner      wire.EntryInfo
-	// Cancel asks the owner to cancel the submission first.
+	// Cancel asks the owner to cancel the submission before it waits for the outcome.
 	Cancel bool
 }
 
@@ -72,127 +80,135 @@
 	Address string
 }
 
-// Output is what Flush asks the caller to carry out.
+// Output is what Flush asks the caller to carry out. The results come back as events: ClaimWritten
+// for Writes, ClaimRead for Reads, PeerReplied for Awaits, and LinkUp or AgentGone for Dials.
 type Output struct {
 	Sends  []Send
 	Writes []claim.Write
-	// Reads are submissions whose claim is to be read.
-	Reads     []string
-	Awaits    []PeerAwait
-	Dials     []Dial
-	Answers   []Answer
+	// Reads are the submissions whose claim is to be read.
+	Reads   []string
+	Awaits  []PeerAwait
+	Dials   []Dial
+	Answers []Answer
+	// Decisions are for the log.
 	Decisions []Decision
 }
 
-// Core is the state of one entry incarnation.
+// Core is the state of one entry incarnation. It is not safe for concurrent use.
 type Core struct {
 	settings Settings
 	self     wire.EntryInfo
 	rng      *rand.Rand
 	pool     *rank.Pool
 	links    map[LinkID]*link
-	// linked maps an agent to its current link.
-	linked map[rank.ID]LinkID
-	// byAgent maps an agent's name to its newest known incarnation.
-	byAgent map[string]rank.ID
-	jobs    map[string]*job
-	queue   *fair.Queue[*task]
-	timers  timerHeap
+	// linkByAgent maps a linked agent to its newest link.
+	linkByAgent map[rank.ID]LinkID
+	// incarnations maps an agent's name to its newest known incarnation.
+	incarnations map[string]rank.ID
+	// submissions are those that have not ended, by name.
+	submissions map[string]*submission
+	// queue holds the tasks that wait for an agent. It may also hold tasks that no longer wait; they
+	// are removed when they are offered.
+	queue  *fair.Queue[*task]
+	timers timerHeap
 	// timerSeq orders timers that are due at the same time.
-	timerSeq uint64
-	teams    map[string]*teamState
-	retry    bucket
-	hedge    bucket
-	// leaseUntil is the time up to which claimed work may be started.
+	timerSeq    uint64
+	teams       map[string]*teamState
+	retryBudget tokenBucket
+	hedgeBudget tokenBucket
+	// leaseUntil is the time up to which tasks of claimed submissions may be started.
 	leaseUntil time.Time
 	draining   bool
-	// shares is the number of live entries among which quotas are divided.
-	shares int
-	// asked is reused by ask.
-	asked rank.Ask
-	// entries are the names of the live entries.
-	entries []string
-	// openTasks counts the tasks of open submissions.
+	// liveEntries is the number of live entries among which quotas are divided; at least 1.
+	liveEntries int
+	// askScratch holds the result of askFor.
+	askScratch rank.Ask
+	// entryNames are the names of the live entries.
+	entryNames []string
+	// openTasks counts the tasks of submissions that have not ended.
 	openTasks int
 	stats     Stats
-	out       Output
-	// starts gathers the batches of this flush, by link.
-	starts map[startKey]*wire.StartBatch
-	acks   ackBook
-	// lookups are refusals that wait for a look at the claim, by submission.
-	lookups map[string][]lookup
-	// configVersion is stamped on messages to agents.
-	configVersion uint64
-	inventory     []Asleep
+	// out is the output of the next Flush.
+	out Output
+	// batches collects the starts of the current flush.
+	batches map[batchKey]*wire.StartBatch
+	acks    ackBuffer
+	// pendingRefusals are refusals that wait for a read of the claim, by submission name.
+	pendingRefusals map[string][]pendingRefusal
+	// configVersion is set in all messages to agents.
+	configVersion    uint64
+	sleepingBackends []Asleep
 }
 
-// queueSlack keeps room in the queue for retries beyond what is admitted.
-const queueSlack = 4
+// queueLimitFactor times MaxWaiting is the capacity of the queue. It is larger than what admission
+// allows, to leave room for retries.
+const queueLimitFactor = 4
 
 // link is an open link to an agent.
 type link struct {
-	id    LinkID
-	agent rank.ID
-	addr  string
+	id      LinkID
+	agent   rank.ID
+	address string
 }
 
-// Asleep describes a sleeping worker's backend server, as the platform lists it.
+// Asleep describes the backend server of a sleeping worker, as the platform lists it.
 type Asleep struct {
 	Service string
 	Labels  map[string]string
 }
 
-// New returns the core of a fresh entry incarnation.
+// New returns the core of a new entry incarnation, which draws random numbers from rng.
 func New(settings Settings, self wire.EntryInfo, rng *rand.Rand) *Core {
 	settings.Rank.LocalDataCentre = self.DataCentre
 	return &Core{
 		settings: settings, self: self, rng: rng,
-		pool:    rank.NewPool(settings.Rank, rng),
-		links:   make(map[LinkID]*link),
-		linked:  make(map[rank.ID]LinkID),
-		byAgent: make(map[string]rank.ID),
-		jobs:    make(map[string]*job),
-		queue:   fair.NewQueue[*task](queueSlack * settings.MaxWaiting),
-		teams:   make(map[string]*teamState),
-		retry:   bucket{tokens: settings.RetryBurst, max: settings.RetryBurst},
-		hedge:   bucket{tokens: 0, max: settings.HedgeBurst},
-		shares:  1,
-		entries: []string{self.ID},
-		starts:  make(map[startKey]*wire.StartBatch),
-		lookups: make(map[string][]lookup),
-		acks:    ackBook{byAgent: make(map[rank.ID]*pendingAcks)},
+		pool:            rank.NewPool(settings.Rank, rng),
+		links:           make(map[LinkID]*link),
+		linkByAgent:     make(map[rank.ID]LinkID),
+		incarnations:    make(map[string]rank.ID),
+		submissions:     make(map[string]*submission),
+		queue:           fair.NewQueue[*task](queueLimitFactor * settings.MaxWaiting),
+		teams:           make(map[string]*teamState),
+		retryBudget:     tokenBucket{tokens: settings.RetryBurst, max: settings.RetryBurst},
+		hedgeBudget:     tokenBucket{tokens: 0, max: settings.HedgeBurst},
+		liveEntries:     1,
+		entryNames:      []string{self.ID},
+		batches:         make(map[batchKey]*wire.StartBatch),
+		pendingRefusals: make(map[string][]pendingRefusal),
+		acks:            ackBuffer{byAgent: make(map[rank.ID]*pendingAcks)},
 	}
 }
 
-// Pool returns the agents known, for reports.
+// Pool returns the agents known to the entry, for reports.
 func (c *Core) Pool() *rank.Pool { return c.pool }
 
-// Stats returns the counters.
+// Stats returns a copy of the counters.
 func (c *Core) Stats() Stats { return c.stats }
 
 // Open returns the number of submissions that have not ended.
-func (c *Core) Open() int { return len(c.jobs) }
+func (c *Core) Open() int { return len(c.submissions) }
 
 // Waiting returns the number of tasks that wait for an agent.
 func (c *Core) Waiting() int { return c.queue.Len() }
 
-// SetLease states until when claimed work may be started. The caller extends
-// it each time the entry's own row is confirmed.
+// SetLease sets the time up to which tasks of claimed submissions may be started. The caller
+// extends it each time the table service confirms the entry's own row. This keeps an entry that
+// was suspended from starting tasks of submissions that others have taken over.
 func (c *Core) SetLease(until time.Time) { c.leaseUntil = until }
 
-// SetEntries names the live entries, this one included: quotas are divided
-// among them, and each agent has one of them as its home.
+// SetEntries sets the names of the live entries, this one included. Quotas are divided among them,
+// and each agent has one of them as its home, the entry that mainly uses it.
 func (c *Core) SetEntries(names []string) {
-	c.entries = names
-	c.shares = max(1, len(names))
+	c.entryNames = names
+	c.liveEntries = max(1, len(names))
 	c.pool.SetHomes(c.self.ID, names)
 }
 
-// SetConfigVersion sets the version stamped on messages to agents.
+// SetConfigVersion sets the configuration version that is included in messages to agents.
 func (c *Core) SetConfigVersion(v uint64) { c.configVersion = v }
 
-// Demand returns the slots that the open tasks of this entry need: those in
-// flight and those waiting.
+// Demand returns the number of slots that this entry needs: one for each attempt in flight and each
+// waiting task.
 func (c *Core) Demand() float64 {
 	inFlight := 0
 	for _, a := range c.pool.Agents() {
@@ -201,10 +217,11 @@
 	return float64(inFlight + c.queue.Len())
 }
 
-// SetInventory replaces the list of sleeping backend servers.
-func (c *Core) SetInventory(list []Asleep) { c.inventory = list }
+// SetInventory replaces the list of sleeping backend servers. Tasks that only these can run are
+// admitted, since their workers can be woken.
+func (c *Core) SetInventory(list []Asleep) { c.sleepingBackends = list }
 
-// Configure replaces the settings. Open submissions go on under the new ones.
+// Configure replaces the settings. They apply to open submissions as well.
 func (c *Core) Configure(settings Settings) {
 	settings.Rank.LocalDataCentre = c.self.DataCentre
 	c.settings = settings
@@ -214,14 +231,15 @@
 // Settings returns the settings in force.
 func (c *Core) Settings() Settings { return c.settings }
 
-// Drain refuses new submissions from now on; open ones go on.
+// Drain makes the core refuse new submissions. Open ones continue.
 func (c *Core) Drain() { c.draining = true }
 
-// Flush acts on all events since the last call.
+// Flush acts on all events since the last call: it runs due timers, places waiting tasks and
+// returns what the caller has to carry out.
 func (c *Core) Flush(now time.Time) Output {
 	c.runTimers(now)
-	c.place(now)
-	clear(c.starts)
+	c.placeWaiting(now)
+	clear(c.batches)
 	c.flushAcks(now)
 	out := c.out
 	c.out = Output{}
@@ -232,7 +250,8 @@
 	return out
 }
 
-// NextTimer returns when Flush must be called at the latest; zero if never.
+// NextTimer returns the time at which Flush must be called if no event comes before; zero if there
+// is none.
 func (c *Core) NextTimer() time.Time {
 	if len(c.timers) == 0 {
 		return c.acks.due
@@ -244,8 +263,8 @@
 	return next
 }
 
-// message returns the message being gathered for a link.
-func (c *Core) message(id LinkID) *wire.ToAgent {
+// messageFor returns the message of the current flush for a link, which it creates if needed.
+func (c *Core) messageFor(id LinkID) *wire.ToAgent {
 	for i := range c.out.Sends {
 		if c.out.Sends[i].Link == id {
 			return c.out.Sends[i].Msg
@@ -256,28 +275,28 @@
 	return msg
 }
 
-// answer ends the waiting requests of a job.
-func (c *Core) answer(j *job, outcome *wire.Outcome) {
-	for _, w := range j.waiters {
+// answerWaiters answers all requests that wait for sub.
+func (c *Core) answerWaiters(sub *submission, outcome *wire.Outcome) {
+	for _, w := range sub.waiters {
 		c.out.Answers = append(c.out.Answers, Answer{Request: w.id, Outcome: outcome})
 	}
-	j.waiters = nil
+	sub.waiters = nil
 }
 
-// accept tells asynchronous callers that j is claimed.
-func (c *Core) accept(j *job) {
-	kept := j.waiters[:0]
-	for _, w := range j.waiters {
+// answerAsyncWaiters tells the asynchronous callers of sub that it is claimed.
+func (c *Core) answerAsyncWaiters(sub *submission) {
+	kept := sub.waiters[:0]
+	for _, w := range sub.waiters {
 		if !w.async {
 			kept = append(kept, w)
 			continue
 		}
 		c.out.Answers = append(c.out.Answers, Answer{Request: w.id})
 	}
-	j.waiters = kept
+	sub.waiters = kept
 }
 
-// refuse answers one request with a refusal: nothing ran.
+// refuse answers one request with a refusal, which states that nothing ran.
 func (c *Core) refuse(request uint64, kind errkind.Kind, detail string, retryAfter time.Duration) {
 	c.stats.Refused++
 	c.out.Answers = append(c.out.Answers, Answer{Request: request, Outcome: &wire.Outcome{
--- a/core/dispatch/links.go
+++ b/core/dispatch/links.go
@@ -10,27 +10,28 @@
 	"peridotpick.example/wire"
 )
 
-// LinkUp registers an open link to an agent incarnation.
+// LinkUp registers an open link to an agent incarnation. An earlier incarnation of the agent has
+// ended.
 func (c *Core) LinkUp(now time.Time, id LinkID, info *wire.AgentInfo) {
 	agent := rank.ID{Agent: info.ID, Incarnation: info.Incarnation}
-	if old, ok := c.byAgent[info.ID]; ok && old != agent {
+	if old, ok := c.incarnations[info.ID]; ok && old != agent {
 		c.AgentGone(now, old)
 	}
-	c.byAgent[info.ID] = agent
-	c.links[id] = &link{id: id, agent: agent, addr: info.Address}
-	c.linked[agent] = id
+	c.incarnations[info.ID] = agent
+	c.links[id] = &link{id: id, agent: agent, address: info.Address}
+	c.linkByAgent[agent] = id
 	known := c.pool.Get(agent)
 	if known == nil {
 		known = newAgent(agent, info)
 		c.pool.Add(known)
-		c.pool.SetHomes(c.self.ID, c.entries)
-		for _, j := range c.sortedJobs() {
-			c.resolveAmong(j)
+		c.pool.SetHomes(c.self.ID, c.entryNames)
+		for _, sub := range c.sortedSubmissions() {
+			c.resolveCandidates(sub)
 		}
 	}
 	known.Down = false
-	for _, j := range c.sortedJobs() {
-		c.askAgain(j, agent)
+	for _, sub := range c.sortedSubmissions() {
+		c.fenceIfUncertain(sub, agent)
 	}
 }
 
@@ -41,50 +42,50 @@
 	}
 }
 
-// LinkDown registers the loss of a link. The agent may still work.
+// LinkDown registers the loss of a link. The agent may still run its attempts.
 func (c *Core) LinkDown(now time.Time, id LinkID) {
 	l := c.links[id]
 	if l == nil {
 		return
 	}
 	delete(c.links, id)
-	if c.linked[l.agent] != id {
+	if c.linkByAgent[l.agent] != id {
 		return // replaced by a newer link
 	}
-	delete(c.linked, l.agent)
+	delete(c.linkByAgent, l.agent)
 	if a := c.pool.Get(l.agent); a != nil {
 		a.Down = true
 	}
-	for _, j := range c.sortedJobs() {
-		c.flightsLost(now, j, l.agent)
+	for _, sub := range c.sortedSubmissions() {
+		c.markAttemptsUnconfirmed(now, sub, l.agent)
 	}
 }
 
-// AgentGone registers that an agent incarnation has certainly ended: its
-// address refuses connections, or another incarnation has taken its place.
+// AgentGone registers that an agent incarnation has certainly ended: its address refuses
+// connections, or another incarnation of the agent has replaced it.
 func (c *Core) AgentGone(now time.Time, agent rank.ID) {
-	if id, ok := c.linked[agent]; ok {
+	if id, ok := c.linkByAgent[agent]; ok {
 		c.LinkDown(now, id)
 	}
-	if c.byAgent[agent.Agent] == agent {
-		delete(c.byAgent, agent.Agent)
+	if c.incarnations[agent.Agent] == agent {
+		delete(c.incarnations, agent.Agent)
 	}
 	c.pool.Remove(agent)
-	c.pool.SetHomes(c.self.ID, c.entries)
-	for _, j := range c.sortedJobs() {
-		if removeID(&j.unfenced, agent) {
-			j.gone = append(j.gone, agent)
-			c.settleFences(now, j, false)
+	c.pool.SetHomes(c.self.ID, c.entryNames)
+	for _, sub := range c.sortedSubmissions() {
+		if removeID(&sub.unfenced, agent) {
+			sub.lostCandidates = append(sub.lostCandidates, agent)
+			c.tryFinishFencing(now, sub, false)
 		}
-		c.flightsGone(now, j, agent)
-		c.resolveAmong(j)
+		c.loseAttempts(now, sub, agent)
+		c.resolveCandidates(sub)
 	}
 }
 
-// Receive handles a message of an agent.
+// Receive handles a message from an agent. Messages on a link that was replaced are ignored.
 func (c *Core) Receive(now time.Time, id LinkID, msg *wire.ToEntry) {
 	l := c.links[id]
-	if l == nil || c.linked[l.agent] != id {
+	if l == nil || c.linkByAgent[l.agent] != id {
 		return
 	}
 	a := c.pool.Get(l.agent)
@@ -93,171 +94,179 @@
 	}
 	c.pool.Report(now, a, msg.Load.Running+msg.Load.Queued, msg.Load.Mine)
 	a.Leaving = msg.Leaving
-	refusedOf := ""
+	lastRefused := ""
 	for _, r := range msg.Results {
-		if r.NotRun && r.Submission != refusedOf {
-			refusedOf = r.Submission
+		if r.NotRun && r.Submission != lastRefused {
+			lastRefused = r.Submission
 			c.stats.WastedRefused += 2 // the batch and its refusal
 		}
-		c.result(now, a, r)
+		c.handleResult(now, a, r)
 	}
 	for i := range msg.Fences {
-		c.fenceReply(now, a, &msg.Fences[i])
+		c.handleFenceReply(now, a, &msg.Fences[i])
 	}
 }
 
-// askAgain queries an agent after its link came back, or fences it late.
-func (c *Core) askAgain(j *job, agent rank.ID) {
-	ask := containsID(j.unfenced, agent)
-	for _, t := range j.tasks {
-		for _, f := range t.flights {
-			ask = ask || f.agent == agent
+// fenceIfUncertain fences an agent whose link has come up if the core does not know yet what the
+// agent has started: it is unfenced, or attempts at it are in flight.
+func (c *Core) fenceIfUncertain(sub *submission, agent rank.ID) {
+	needsFence := containsID(sub.unfenced, agent)
+	for _, t := range sub.tasks {
+		for _, att := range t.attempts {
+			needsFence = needsFence || att.agent == agent
 		}
 	}
-	if ask {
-		c.fence(j, agent)
+	if needsFence {
+		c.sendFence(sub, agent)
 	}
 }
 
-func (c *Core) fence(j *job, agent rank.ID) {
-	msg := c.message(c.linked[agent])
-	msg.Fences = append(msg.Fences, wire.Fence{Submission: j.submission, Epoch: max(1, j.epoch)})
-	j.touch(agent)
+// sendFence fences a linked agent: the agent refuses starts of lower epochs from then on and reports
+// the attempts of sub that it knows.
+func (c *Core) sendFence(sub *submission, agent rank.ID) {
+	msg := c.messageFor(c.linkByAgent[agent])
+	msg.Fences = append(msg.Fences, wire.Fence{Submission: sub.name, Epoch: max(1, sub.epoch)})
+	sub.addContacted(agent)
 	c.stats.Fences++
 	c.stats.WastedFence += 2
 }
 
-// beginFencing asks every candidate what it has started.
-func (c *Core) beginFencing(now time.Time, j *job) {
-	j.phase = phaseFencing
-	c.makeTasks(j)
-	c.resolveAmong(j)
-	j.unfenced = nil
-	j.gone = nil
-	for _, candidate := range j.candidates {
-		c.fenceCandidate(j, candidate)
-	}
-	c.settleFences(now, j, false)
+// beginFencing fences every candidate to learn which tasks were started.
+func (c *Core) beginFencing(now time.Time, sub *submission) {
+	sub.phase = phaseFencing
+	c.makeTasks(sub)
+	c.resolveCandidates(sub)
+	sub.unfenced = nil
+	sub.lostCandidates = nil
+	for _, candidate := range sub.candidates {
+		c.fenceCandidate(sub, candidate)
+	}
+	c.tryFinishFencing(now, sub, false)
 }
 
-func (c *Core) fenceCandidate(j *job, candidate claim.Candidate) {
-	newest, known := c.byAgent[candidate.ID.Agent]
+// fenceCandidate fences a candidate if it is linked, and otherwise requests a link first. A
+// candidate that was replaced by another incarnation is lost.
+func (c *Core) fenceCandidate(sub *submission, candidate claim.Candidate) {
+	newest, known := c.incarnations[candidate.ID.Agent]
 	if known && newest != candidate.ID {
-		j.gone = append(j.gone, candidate.ID)
+		sub.lostCandidates = append(sub.lostCandidates, candidate.ID)
 		return
 	}
-	j.unfenced = append(j.unfenced, candidate.ID)
-	if _, ok := c.linked[candidate.ID]; ok {
-		c.fence(j, candidate.ID)
+	sub.unfenced = append(sub.unfenced, candidate.ID)
+	if _, ok := c.linkByAgent[candidate.ID]; ok {
+		c.sendFence(sub, candidate.ID)
 		return
 	}
 	c.out.Dials = append(c.out.Dials, Dial{ID: candidate.ID, Address: candidate.Address})
 }
 
-func (c *Core) fenceReply(now time.Time, a *rank.Agent, reply *wire.FenceReply) {
-	j := c.jobs[reply.Submission]
-	if j == nil || (j.phase != phaseFencing && j.phase != phaseRunning) {
+// handleFenceReply adopts the attempts that an agent reports.
+func (c *Core) handleFenceReply(now time.Time, a *rank.Agent, reply *wire.FenceReply) {
+	sub := c.submissions[reply.Submission]
+	if sub == nil || (sub.phase != phaseFencing && sub.phase != phaseRunning) {
 		return
 	}
-	if reply.Highest > j.epoch {
-		c.lostOwnership(now, j)
+	if reply.Highest > sub.epoch {
+		c.handleOwnershipLoss(now, sub)
 		return
 	}
-	if reply.Epoch != max(1, j.epoch) {
+	if reply.Epoch != max(1, sub.epoch) {
 		return
 	}
 	for i := range reply.Tasks {
-		c.adoptState(now, j, a, &reply.Tasks[i])
-		if j.ended || j.phase == phaseClosing {
+		c.adoptTaskState(now, sub, a, &reply.Tasks[i])
+		if sub.ended || sub.phase == phaseClosing {
 			return
 		}
 	}
-	c.flightsNotSeen(now, j, a.ID, reply)
-	if removeID(&j.unfenced, a.ID) && reply.Partial {
-		j.gone = append(j.gone, a.ID)
+	c.dropUnreceivedAttempts(now, sub, a.ID, reply)
+	if removeID(&sub.unfenced, a.ID) && reply.Partial {
+		sub.lostCandidates = append(sub.lostCandidates, a.ID)
 	}
-	c.settleFences(now, j, false)
+	c.tryFinishFencing(now, sub, false)
 }
 
-// adoptState takes an attempt that an agent reports into account.
-func (c *Core) adoptState(now time.Time, j *job, a *rank.Agent, s *wire.TaskState) {
-	if int(s.Index) >= len(j.tasks) {
+// adoptTaskState handles an attempt that an agent reports: it counts as in flight if it was not
+// known, and its result is handled if it has ended.
+func (c *Core) adoptTaskState(now time.Time, sub *submission, a *rank.Agent, s *wire.TaskState) {
+	if int(s.Index) >= len(sub.tasks) {
 		return
 	}
-	t := j.tasks[s.Index]
-	t.attempt = max(t.attempt, s.Attempt)
+	t := sub.tasks[s.Index]
+	t.lastAttempt = max(t.lastAttempt, s.Attempt)
 	if t.state == taskDone {
 		return
 	}
-	f := t.flightAt(a.ID, s.Attempt)
-	if f == nil {
-		if s.Phase == wire.Done && t.kind != errkind.OK {
-			return // a failure that was handled before
+	att := t.findAttempt(a.ID, s.Attempt)
+	if att == nil {
+		if s.Phase == wire.Done && t.lastFailure != errkind.OK {
+			return // this failure has been handled before
 		}
-		t.flights = append(t.flights, flight{agent: a.ID, attempt: s.Attempt})
+		t.attempts = append(t.attempts, attempt{agent: a.ID, number: s.Attempt})
 		t.state = taskInFlight
 		a.Sent()
-		c.team(j.team).inFlight++
-		f = &t.flights[len(t.flights)-1]
+		c.team(sub.team).inFlight++
+		att = &t.attempts[len(t.attempts)-1]
 	}
-	f.lost = false
+	att.unconfirmed = false
 	switch {
 	case s.Phase == wire.Done && s.Result != nil:
-		c.result(now, a, s.Result)
+		c.handleResult(now, a, s.Result)
 	case s.Phase == wire.Done, s.Phase == wire.Lost:
-		c.flightGone(now, t, *f)
+		c.loseAttempt(now, t, *att)
 	}
 }
 
-// flightsNotSeen handles attempts that the agent provably never received.
-func (c *Core) flightsNotSeen(now time.Time, j *job, agent rank.ID, reply *wire.FenceReply) {
-	for _, t := range j.tasks {
-		for _, f := range append([]flight(nil), t.flights...) {
-			if f.agent != agent || !f.lost || j.ended {
+// dropUnreceivedAttempts handles unconfirmed attempts that the agent has not reported. The agent
+// never received them, unless its reply is partial.
+func (c *Core) dropUnreceivedAttempts(now time.Time, sub *submission, agent rank.ID, reply *wire.FenceReply) {
+	for _, t := range sub.tasks {
+		for _, att := range append([]attempt(nil), t.attempts...) {
+			if att.agent != agent || !att.unconfirmed || sub.ended {
 				continue
 			}
 			if reply.Partial {
-				c.flightGone(now, t, f)
+				c.loseAttempt(now, t, att)
 				continue
 			}
-			c.removeFlight(t, f)
+			c.removeAttempt(t, att)
 			c.requeue(now, t)
 		}
 	}
 }
 
-// settleFences goes on after fencing when nothing more can be learned. With
-// force, candidates that have not answered count as gone.
-func (c *Core) settleFences(now time.Time, j *job, force bool) {
-	if j.phase != phaseFencing {
+// tryFinishFencing ends phase fencing when all candidates have answered or are lost, or every task
+// was reported. With force, candidates that have not answered count as lost.
+func (c *Core) tryFinishFencing(now time.Time, sub *submission, force bool) {
+	if sub.phase != phaseFencing {
 		return
 	}
 	if force {
-		j.gone = append(j.gone, j.unfenced...)
-		j.unfenced = nil
+		sub.lostCandidates = append(sub.lostCandidates, sub.unfenced...)
+		sub.unfenced = nil
 	}
-	if len(j.unfenced) > 0 && !j.accounted() {
+	if len(sub.unfenced) > 0 && !sub.allTasksReported() {
 		return
 	}
-	j.phase = phaseRunning
-	if j.cancelAsked {
-		c.fail(now, j, errkind.Canceled, "canceled by the caller")
+	sub.phase = phaseRunning
+	if sub.cancelRequested {
+		c.fail(now, sub, errkind.Canceled, "canceled by the caller")
 		return
 	}
-	for _, t := range j.tasks {
+	for _, t := range sub.tasks {
 		if t.state == taskWaiting {
-			c.startUnreported(now, t)
+			c.resolveUnreported(now, t)
 		}
-		if j.ended || j.phase == phaseClosing {
+		if sub.ended || sub.phase == phaseClosing {
 			return
 		}
 	}
-	c.checkEnd(now, j)
+	c.closeIfDone(now, sub)
 }
 
-// accounted reports whether each task was reported by some candidate.
-func (j *job) accounted() bool {
-	for _, t := range j.tasks {
+// allTasksReported reports whether each task was reported by some candidate.
+func (sub *submission) allTasksReported() bool {
+	for _, t := range sub.tasks {
 		if t.state == taskWaiting {
 			return false
 		}
@@ -265,30 +274,31 @@
 	return true
 }
 
-// startUnreported decides about a task that no candidate has reported.
-func (c *Core) startUnreported(now time.Time, t *task) {
-	j := t.job
+// resolveUnreported handles a task that no candidate has reported: it is in doubt if a candidate is
+// lost, and otherwise provably not started.
+func (c *Core) resolveUnreported(now time.Time, t *task) {
+	sub := t.sub
 	switch {
-	case len(j.gone) > 0:
-		c.doubt(now, t, flight{})
-	case j.orphan:
-		c.fail(now, j, errkind.DeadlineExceeded, "the entry that owned the submission was lost before every task had started")
+	case len(sub.lostCandidates) > 0:
+		c.handleInDoubt(now, t, attempt{})
+	case sub.gatherOnly:
+		c.fail(now, sub, errkind.DeadlineExceeded, "the entry that owned the submission was lost before every task had started")
 	default:
 		c.enqueue(now, t)
 	}
 }
 
-// flightsLost marks attempts at an agent whose link went down. Repeatable
-// tasks without a claim are started elsewhere at once.
-func (c *Core) flightsLost(now time.Time, j *job, agent rank.ID) {
-	for _, t := range j.tasks {
-		for i := range t.flights {
-			f := &t.flights[i]
-			if f.agent != agent {
+// markAttemptsUnconfirmed marks the attempts at an agent whose link went down. Repeatable tasks of an
+// unclaimed submission are started at another agent at once if the retry budget allows it.
+func (c *Core) markAttemptsUnconfirmed(now time.Time, sub *submission, agent rank.ID) {
+	for _, t := range sub.tasks {
+		for i := range t.attempts {
+			att := &t.attempts[i]
+			if att.agent != agent {
 				continue
 			}
-			f.lost = true
-			if !j.claimed && t.spec.Repeatable && len(t.flights) == 1 && c.retry.spend() {
+			att.unconfirmed = true
+			if !sub.claimed && t.spec.Repeatable && len(t.attempts) == 1 && c.retryBudget.take() {
 				c.stats.WastedRetry++
 				t.avoid = append(t.avoid, agent)
 				c.enqueue(now, t)
@@ -297,46 +307,48 @@
 	}
 }
 
-// flightsGone handles attempts at an agent that has certainly ended.
-func (c *Core) flightsGone(now time.Time, j *job, agent rank.ID) {
-	for _, t := range j.tasks {
-		for _, f := range append([]flight(nil), t.flights...) {
-			if f.agent == agent && !j.ended && j.phase != phaseClosing {
-				c.flightGone(now, t, f)
+// loseAttempts handles the attempts at an agent that has certainly ended.
+func (c *Core) loseAttempts(now time.Time, sub *submission, agent rank.ID) {
+	for _, t := range sub.tasks {
+		for _, att := range append([]attempt(nil), t.attempts...) {
+			if att.agent == agent && !sub.ended && sub.phase != phaseClosing {
+				c.loseAttempt(now, t, att)
 			}
 		}
 	}
 }
 
-// flightGone handles an attempt whose fate can never be learned.
-func (c *Core) flightGone(now time.Time, t *task, f flight) {
-	c.removeFlight(t, f)
+// loseAttempt handles an attempt of which it can never be learned whether it ran.
+func (c *Core) loseAttempt(now time.Time, t *task, att attempt) {
+	c.removeAttempt(t, att)
 	t.mayHaveRun = true
-	if len(t.flights) > 0 || t.state == taskWaiting || t.state == taskDone {
-		return // another attempt is out, or waits already
+	if len(t.attempts) > 0 || t.state == taskWaiting || t.state == taskDone {
+		return // another attempt is in flight or waits, or the task is done
 	}
-	c.doubt(now, t, f)
+	c.handleInDoubt(now, t, att)
 }
 
-// doubt decides about a task that may have started and cannot be asked about.
-func (c *Core) doubt(now time.Time, t *task, f flight) {
+// handleInDoubt handles a task that may have started at an agent that cannot be asked. It fails the
+// submission or starts the task again, in a claimed submission only after the task's maximum run
+// time.
+func (c *Core) handleInDoubt(now time.Time, t *task, att attempt) {
 	t.state = taskInDoubt
 	t.mayHaveRun = true
-	j := t.job
-	if !t.spec.Repeatable || j.orphan {
-		c.fail(now, j, errkind.FateUnknown, "a task that may not be repeated may have started on a backend server that is gone")
+	sub := t.sub
+	if !t.spec.Repeatable || sub.gatherOnly {
+		c.fail(now, sub, errkind.FateUnknown, "a task that may not be repeated may have started on a backend server that is gone")
 		return
 	}
-	if !j.claimed {
-		c.lapsed(now, t, f.agent)
+	if !sub.claimed {
+		c.retryInDoubt(now, t, att.agent)
 		return
 	}
-	// Whatever started there did so before now.
-	c.after(now.Add(t.spec.MaxRun), timer{kind: timerLapse, job: j, task: t, agent: f.agent})
+	// An attempt that started there did so before now, so it has ended after its maximum run time.
+	c.addTimer(now.Add(t.spec.MaxRun), timer{kind: timerRetryInDoubt, sub: sub, task: t, agent: att.agent})
 }
 
-// lapsed starts a repeatable task again whose earlier attempt has surely ended.
-func (c *Core) lapsed(now time.Time, t *task, agent rank.ID) {
+// retryInDoubt starts a repeatable task in doubt again. The agent of the earlier attempt is avoided.
+func (c *Core) retryInDoubt(now time.Time, t *task, agent rank.ID) {
 	if t.state != taskInDoubt {
 		return
 	}
@@ -345,12 +357,12 @@
 	c.enqueue(now, t)
 }
 
-// sortedJobs returns the open jobs in a fixed order.
-func (c *Core) sortedJobs() []*job {
-	list := make([]*job, 0, len(c.jobs))
-	for _, j := range c.jobs {
-		list = append(list, j)
-	}
-	sortJobs(list)
-	return list
+// sortedSubmissions returns the open submissions by name, so that events have a deterministic order.
+func (c *Core) sortedSubmissions() []*submission {
+	subs := make([]*submission, 0, len(c.submissions))
+	for _, sub := range c.submissions {
+		subs = append(subs, sub)
+	}
+	sortSubmissions(subs)
+	return subs
 }
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -11,92 +11,96 @@
 	"peridotpick.example/wire"
 )
 
-// startKey groups the starts of one flush into batches.
-type startKey struct {
+// batchKey identifies a batch: the attempts of one flush that have all these in common are sent
+// together.
+type batchKey struct {
 	link       LinkID
 	submission string
 	class      uint8
 	noWait     bool
 }
 
-// enqueue makes t wait for an agent.
+// enqueue makes t wait for an agent. If the queue is full its submission fails.
 func (c *Core) enqueue(now time.Time, t *task) {
-	if t.state != taskWaiting || t.since.IsZero() {
-		t.since = now
+	if t.state != taskWaiting || t.waitingSince.IsZero() {
+		t.waitingSince = now
 	}
 	t.state = taskWaiting
 	if t.queued {
 		return
 	}
-	j := t.job
+	sub := t.sub
 	item := fair.Item[*task]{
-		Class: t.spec.Class, Team: j.team, Weight: j.weight, Lane: c.lane(t), Value: t,
+		Class: t.spec.Class, Team: sub.team, Weight: sub.weight, Lane: c.laneOf(t), Value: t,
 	}
 	if !c.queue.Push(item) {
-		c.fail(now, j, errkind.Overloaded, "too many tasks wait")
+		c.fail(now, sub, errkind.Overloaded, "too many tasks wait")
 		return
 	}
 	t.queued = true
 }
 
-// lane names what t waits for, so that tasks that wait for the same agents are
-// offered only once while none of these is free.
-func (c *Core) lane(t *task) string {
-	j := t.job
-	if j.claimed && len(j.among) < len(c.pool.Feasible(t.spec.requirement())) {
-		return "j/" + j.submission
-	}
-	if t.index > 0 && sameRequirement(t.spec, j.tasks[t.index-1].spec) {
-		if l := j.tasks[t.index-1].laneName; l != "" {
+// laneOf names the set of agents that t waits for. Tasks that wait for the same agents share a lane,
+// so that only one of them is offered while none of these agents is free. A claimed submission has a
+// lane of its own while its candidates are not all feasible agents. Otherwise its lane depends on
+// the pool's generation, since agents that join later are not among its candidates.
+func (c *Core) laneOf(t *task) string {
+	sub := t.sub
+	if sub.claimed && len(sub.knownCandidates) < len(c.pool.Feasible(t.spec.requirement())) {
+		return "j/" + sub.name
+	}
+	if t.index > 0 && sameRequirement(t.spec, sub.tasks[t.index-1].spec) {
+		if l := sub.tasks[t.index-1].laneName; l != "" {
 			t.laneName = l
 			return l
 		}
 	}
 	t.laneName = t.spec.Service + "|" + t.spec.Selector.String()
-	if j.claimed {
+	if sub.claimed {
 		t.laneName += "#" + strconv.FormatUint(c.pool.Generation(), 10)
 	}
 	return t.laneName
 }
 
-// place offers waiting tasks to agents.
-func (c *Core) place(now time.Time) {
+// placeWaiting sends the waiting tasks for which an agent has room.
+func (c *Core) placeWaiting(now time.Time) {
 	if c.queue.Len() == 0 {
 		return
 	}
-	c.queue.Scan(func(t *task) fair.Verdict { return c.offer(now, t) })
+	c.queue.Scan(func(t *task) fair.Verdict { return c.tryPlace(now, t) })
 }
 
-func (c *Core) offer(now time.Time, t *task) fair.Verdict {
-	j := t.job
-	if j.ended || j.phase != phaseRunning || t.state != taskWaiting || !now.Before(j.deadline) {
+// tryPlace sends t to an agent if one has room.
+func (c *Core) tryPlace(now time.Time, t *task) fair.Verdict {
+	sub := t.sub
+	if sub.ended || sub.phase != phaseRunning || t.state != taskWaiting || !now.Before(sub.deadline) {
 		t.queued = false
 		return fair.Taken
 	}
-	if j.claimed && now.After(c.leaseUntil) {
+	if sub.claimed && now.After(c.leaseUntil) {
 		return fair.Blocked
 	}
-	ask := c.ask(now, t)
-	choice := c.pick(now, j, ask)
+	ask := c.askFor(now, t)
+	choice := c.pickAgent(now, sub, ask)
 	if choice.Agent == nil && len(t.avoid) > 0 && !c.hasAlternative(t) {
 		ask.Avoid = nil
-		choice = c.pick(now, j, ask)
+		choice = c.pickAgent(now, sub, ask)
 	}
 	if choice.Agent == nil {
-		c.watchCandidates(now, j)
+		c.scheduleWidening(now, sub)
 		return fair.Blocked
 	}
 	t.queued = false
-	c.send(now, t, choice, Placed)
+	c.sendAttempt(now, t, choice, Placed)
 	return fair.Taken
 }
 
-// hasAlternative reports whether an agent that t need not avoid is up, busy or
-// not: then t rather waits for it than go back to one that failed it.
+// hasAlternative reports whether an agent that t need not avoid is up, busy or not. The task then
+// waits for that agent instead of returning to one that failed or refused it.
 func (c *Core) hasAlternative(t *task) bool {
 	r := t.spec.requirement()
-	list := t.job.among
-	if !t.job.claimed {
+	list := t.sub.knownCandidates
+	if !t.sub.claimed {
 		list = c.pool.Feasible(r)
 	}
 	for _, a := range list {
@@ -107,181 +111,187 @@
 	return false
 }
 
-func (c *Core) pick(now time.Time, j *job, ask *rank.Ask) rank.Choice {
-	if j.claimed {
-		return c.pool.PickAmong(now, j.among, ask)
+// pickAgent chooses an agent from the candidates of a claimed submission, else from the pool.
+func (c *Core) pickAgent(now time.Time, sub *submission, ask *rank.Ask) rank.Choice {
+	if sub.claimed {
+		return c.pool.PickAmong(now, sub.knownCandidates, ask)
 	}
 	return c.pool.Pick(now, ask)
 }
 
-// ask returns what t asks of the pool. It is valid until the next call.
-func (c *Core) ask(now time.Time, t *task) *rank.Ask {
-	c.asked = rank.Ask{
-		Requirement: t.spec.requirement(), Kind: t.spec.kind(), Waited: now.Sub(t.since),
-		Spare: c.spare(now, t.job), Avoid: t.avoid,
-	}
-	return &c.asked
+// askFor returns the requirements of t for a pick from the pool. The result is valid until the next
+// call.
+func (c *Core) askFor(now time.Time, t *task) *rank.Ask {
+	c.askScratch = rank.Ask{
+		Requirement: t.spec.requirement(), Kind: t.spec.kind(), Waited: now.Sub(t.waitingSince),
+		Spare: c.spareSlotsFor(now, t.sub), Avoid: t.avoid,
+	}
+	return &c.askScratch
 }
 
-// spare returns the slots that work of j's team must leave free at each agent.
-func (c *Core) spare(now time.Time, j *job) float64 {
-	team := c.teams[j.team]
+// spareSlotsFor returns the number of slots that tasks of sub must leave free at each agent:
+// SpareSlots if its team uses its whole share of the slots and another team is active, else 0.
+func (c *Core) spareSlotsFor(now time.Time, sub *submission) float64 {
+	team := c.teams[sub.team]
 	if team == nil || len(c.teams) < 2 {
 		return 0
 	}
-	weights, others := 0.0, false
+	totalWeight, othersActive := 0.0, false
 	for _, t := range c.teams {
-		if now.Sub(t.seen) > teamActive {
+		if now.Sub(t.lastSubmission) > teamActiveWindow {
 			continue
 		}
-		weights += t.weight
-		others = others || t != team
+		totalWeight += t.weight
+		othersActive = othersActive || t != team
 	}
-	share := j.weight / max(j.weight, weights) * float64(c.slots()) / float64(c.shares)
-	if !others || float64(team.inFlight) < share {
+	share := sub.weight / max(sub.weight, totalWeight) * float64(c.totalSlots()) / float64(c.liveEntries)
+	if !othersActive || float64(team.inFlight) < share {
 		return 0
 	}
 	return c.settings.SpareSlots
 }
 
-// teamActive is how long after its last submission a team counts as active.
-const teamActive = 10 * time.Second
+// teamActiveWindow is how long after its last submission a team counts as active.
+const teamActiveWindow = 10 * time.Second
 
-// send adds an attempt of t to the batch for the chosen agent.
-func (c *Core) send(now time.Time, t *task, choice rank.Choice, why DecisionKind) {
-	j := t.job
+// sendAttempt adds an attempt of t to the batch for the chosen agent and records why it was sent.
+func (c *Core) sendAttempt(now time.Time, t *task, choice rank.Choice, why DecisionKind) {
+	sub := t.sub
 	a := choice.Agent
-	id := c.linked[a.ID]
-	t.attempt++
+	id := c.linkByAgent[a.ID]
+	t.lastAttempt++
 	t.state = taskInFlight
-	t.flights = append(t.flights, flight{agent: a.ID, attempt: t.attempt})
+	t.attempts = append(t.attempts, attempt{agent: a.ID, number: t.lastAttempt})
 	a.Sent()
-	c.team(j.team).inFlight++
+	c.team(sub.team).inFlight++
 	a.Probing()
-	j.touch(a.ID)
+	sub.addContacted(a.ID)
 	c.stats.Starts++
-	key := startKey{id, j.submission, t.spec.Class, choice.NoWait}
-	batch := c.starts[key]
+	key := batchKey{id, sub.name, t.spec.Class, choice.NoWait}
+	batch := c.batches[key]
 	if batch == nil {
-		batch = &wire.StartBatch{Submission: j.submission, Epoch: j.epoch, Remaining: j.deadline.Sub(now), Class: t.spec.Class, NoWait: choice.NoWait, Spare: choice.Spare}
-		c.starts[key] = batch
-		msg := c.message(id)
+		batch = &wire.StartBatch{Submission: sub.name, Epoch: sub.epoch, Remaining: sub.deadline.Sub(now), Class: t.spec.Class, NoWait: choice.NoWait, Spare: choice.Spare}
+		c.batches[key] = batch
+		msg := c.messageFor(id)
 		msg.Starts = append(msg.Starts, batch)
 	}
 	batch.Tasks = append(batch.Tasks, wire.TaskStart{
-		Index: t.index, Attempt: t.attempt, Kind: t.spec.Kind, Payload: t.spec.Payload, Sum: t.sum(), MaxRun: t.spec.MaxRun,
+		Index: t.index, Attempt: t.lastAttempt, Kind: t.spec.Kind, Payload: t.spec.Payload, Sum: t.payloadChecksum(), MaxRun: t.spec.MaxRun,
 	})
-	c.decidePlaced(t, choice, why)
-	c.watchFlight(now, t, a.ID)
+	c.recordPlacement(t, choice, why)
+	c.armAttemptTimers(now, t, a.ID)
 }
 
-func (c *Core) decidePlaced(t *task, choice rank.Choice, why DecisionKind) {
+// recordPlacement records the choice of an agent for t.
+func (c *Core) recordPlacement(t *task, choice rank.Choice, why DecisionKind) {
 	d := Decision{
-		Kind: why, Submission: t.job.submission, Task: t.index, Attempt: t.attempt,
+		Kind: why, Submission: t.sub.name, Task: t.index, Attempt: t.lastAttempt,
 		Agent: choice.Agent.ID, Finish: choice.Finish, RunnerUpFinish: choice.RunnerUpFinish,
 	}
 	if choice.RunnerUp != nil {
 		d.RunnerUp = choice.RunnerUp.ID
 	}
-	c.decide(d)
+	c.recordDecision(d)
 }
 
-// sum returns the payload's checksum, computed once.
-func (t *task) sum() uint64 {
-	if !t.summed {
+// payloadChecksum returns the checksum of the payload, which it computes on the first call.
+func (t *task) payloadChecksum() uint64 {
+	if !t.hasChecksum {
 		t.checksum = wire.Sum(t.spec.Payload)
-		t.summed = true
+		t.hasChecksum = true
 	}
 	return t.checksum
 }
 
-// watchFlight arms the timers that look at an attempt which takes unusually long.
-func (c *Core) watchFlight(now time.Time, t *task, agent rank.ID) {
-	slow := float64(c.pool.SlowAfter(t.spec.kind()))
+// armAttemptTimers sets the timers that act if the newest attempt of t takes unusually long. There
+// are none while too little is known about the run times of its kind.
+func (c *Core) armAttemptTimers(now time.Time, t *task, agent rank.ID) {
+	slowAfter := float64(c.pool.SlowAfter(t.spec.kind()))
 	if c.mayHedge(t) {
-		c.hedge.earn(c.settings.HedgeShare)
+		c.hedgeBudget.add(c.settings.HedgeShare)
 	}
-	if slow == 0 {
+	if slowAfter == 0 {
 		return
 	}
-	watch := timer{kind: timerOverdue, job: t.job, task: t, agent: agent, attempt: t.attempt}
-	c.after(now.Add(time.Duration(overdueFactor*slow)), watch)
+	tm := timer{kind: timerOverdue, sub: t.sub, task: t, agent: agent, attempt: t.lastAttempt}
+	c.addTimer(now.Add(time.Duration(overdueFactor*slowAfter)), tm)
 	if c.mayHedge(t) {
-		watch.kind = timerHedge
-		c.after(now.Add(time.Duration(c.settings.HedgeFactor*slow)), watch)
+		tm.kind = timerHedge
+		c.addTimer(now.Add(time.Duration(c.settings.HedgeFactor*slowAfter)), tm)
 	}
 }
 
-// overdueFactor times the upper quantile of run times is when an attempt counts
-// against its agent.
+// overdueFactor times the learned upper quantile of run times is the time after which an attempt is
+// overdue and counts against its agent.
 const overdueFactor = 2
 
-// mayHedge reports whether a second attempt of t would be allowed.
+// mayHedge reports whether a second attempt of t may be sent while the first one runs.
 func (c *Core) mayHedge(t *task) bool {
-	return c.settings.HedgeShare > 0 && !t.job.claimed && t.spec.Repeatable && len(t.flights) == 1
+	return c.settings.HedgeShare > 0 && !t.sub.claimed && t.spec.Repeatable && len(t.attempts) == 1
 }
 
-// markOverdue counts an attempt that runs far too long against its agent.
-func (c *Core) markOverdue(t *task, agent rank.ID, attempt uint32) {
-	f := t.flightAt(agent, attempt)
+// markOverdue counts an attempt as overdue at its agent if it is still in flight.
+func (c *Core) markOverdue(t *task, agent rank.ID, number uint32) {
+	att := t.findAttempt(agent, number)
 	a := c.pool.Get(agent)
-	if f == nil || a == nil || f.overdue {
+	if att == nil || a == nil || att.overdue {
 		return
 	}
-	f.overdue = true
+	att.overdue = true
 	a.Overdue(1)
 }
 
-// hedgeStraggler sends a second attempt of a task that runs unusually long.
-func (c *Core) hedgeStraggler(now time.Time, t *task, agent rank.ID, attempt uint32) {
-	if t.state != taskInFlight || len(t.flights) != 1 || t.flights[0].attempt != attempt {
+// hedgeStraggler sends a second attempt of a task to another agent if the given attempt is still the
+// only one in flight, an agent has room and the hedge budget allows it.
+func (c *Core) hedgeStraggler(now time.Time, t *task, agent rank.ID, number uint32) {
+	if t.state != taskInFlight || len(t.attempts) != 1 || t.attempts[0].number != number {
 		return
 	}
-	ask := c.ask(now, t)
+	ask := c.askFor(now, t)
 	ask.Waited, ask.Avoid = 0, []rank.ID{agent}
 	choice := c.pool.Pick(now, ask)
-	if choice.Agent == nil || !c.hedge.spend() {
+	if choice.Agent == nil || !c.hedgeBudget.take() {
 		return
 	}
 	c.stats.WastedHedge++
-	c.send(now, t, choice, Hedged)
+	c.sendAttempt(now, t, choice, Hedged)
 }
 
-// watchCandidates arms the timer after which more candidates are added.
-func (c *Core) watchCandidates(now time.Time, j *job) {
-	if j.claimed && !j.widening {
-		j.widening = true
-		c.after(now.Add(c.settings.CandidateWait), timer{kind: timerCandidates, job: j})
+// scheduleWidening sets the timer after which more candidates are added to the claim.
+func (c *Core) scheduleWidening(now time.Time, sub *submission) {
+	if sub.claimed && !sub.widening {
+		sub.widening = true
+		c.addTimer(now.Add(c.settings.CandidateWait), timer{kind: timerWidenClaim, sub: sub})
 	}
 }
 
-// widen adds candidate agents to the claim of a submission whose candidates
-// are all busy or gone.
-func (c *Core) widen(now time.Time, j *job) {
-	if j.phase != phaseRunning || j.writing != nil {
-		j.widening = false
+// widenClaim adds candidates to the claim of a submission whose candidates are all busy or lost.
+func (c *Core) widenClaim(now time.Time, sub *submission) {
+	if sub.phase != phaseRunning || sub.pendingWrite != nil {
+		sub.widening = false
 		return
 	}
-	known := make(map[rank.ID]bool, len(j.candidates))
-	for _, have := range j.candidates {
-		known[have.ID] = true
+	known := make(map[rank.ID]bool, len(sub.candidates))
+	for _, candidate := range sub.candidates {
+		known[candidate.ID] = true
 	}
-	more := append([]claim.Candidate(nil), j.candidates...)
-	for _, extra := range c.plan(j) {
-		if !known[extra.ID] {
-			more = append(more, extra)
+	candidates := append([]claim.Candidate(nil), sub.candidates...)
+	for _, candidate := range c.planCandidates(sub) {
+		if !known[candidate.ID] {
+			candidates = append(candidates, candidate)
 		}
 	}
-	if len(more) == len(j.candidates) || !j.hasWaiting() {
-		j.widening = false
+	if len(candidates) == len(sub.candidates) || !sub.hasWaitingTask() {
+		sub.widening = false
 		return
 	}
-	c.decide(Decision{Kind: Widened, Submission: j.submission})
-	c.write(j, &claim.Row{Epoch: j.epoch, Candidates: more}, j.version, time.Time{})
+	c.recordDecision(Decision{Kind: Widened, Submission: sub.name})
+	c.writeRow(sub, &claim.Row{Epoch: sub.epoch, Candidates: candidates}, sub.version, time.Time{})
 }
 
-func (j *job) hasWaiting() bool {
-	for _, t := range j.tasks {
+// hasWaitingTask reports whether a task of sub waits for an agent.
+func (sub *submission) hasWaitingTask() bool {
+	for _, t := range sub.tasks {
 		if t.state == taskWaiting {
 			return true
 		}
@@ -289,31 +299,35 @@
 	return false
 }
 
-// resolveAmong recomputes which candidate agents are known here.
-func (c *Core) resolveAmong(j *job) {
-	j.among = j.among[:0]
-	for _, candidate := range j.candidates {
+// resolveCandidates updates sub.knownCandidates from the pool.
+func (c *Core) resolveCandidates(sub *submission) {
+	sub.knownCandidates = sub.knownCandidates[:0]
+	for _, candidate := range sub.candidates {
 		if a := c.pool.Get(candidate.ID); a != nil {
-			j.among = append(j.among, a)
+			sub.knownCandidates = append(sub.knownCandidates, a)
 		}
 	}
 }
 
-// ackBook holds acknowledgements that wait for a message to ride on.
-type ackBook struct {
+// ackBuffer holds acknowledgements, which tell agents to forget a submission, until they can be
+// piggybacked on another message.
+type ackBuffer struct {
 	byAgent map[rank.ID]*pendingAcks
-	// due is when some may have to be sent on their own; zero if there are none.
+	// due is a lower bound of the time at which the next must be sent on their own; zero if there
+	// are none.
 	due time.Time
 }
 
-// pendingAcks are those for one agent.
+// pendingAcks are the acknowledgements for one agent.
 type pendingAcks struct {
 	list []wire.Ack
-	due  time.Time
+	// due is when they are sent on their own.
+	due time.Time
 }
 
-func (c *Core) ack(now time.Time, agent rank.ID, j *job) {
-	if _, ok := c.linked[agent]; !ok {
+// queueAck buffers the acknowledgement of sub for an agent, if the agent is linked.
+func (c *Core) queueAck(now time.Time, agent rank.ID, sub *submission) {
+	if _, ok := c.linkByAgent[agent]; !ok {
 		return
 	}
 	pending := c.acks.byAgent[agent]
@@ -321,14 +335,14 @@
 		pending = &pendingAcks{due: now.Add(c.settings.AckDelay)}
 		c.acks.byAgent[agent] = pending
 	}
-	pending.list = append(pending.list, wire.Ack{Submission: j.submission, Epoch: max(1, j.epoch)})
+	pending.list = append(pending.list, wire.Ack{Submission: sub.name, Epoch: max(1, sub.epoch)})
 	if c.acks.due.IsZero() || pending.due.Before(c.acks.due) {
 		c.acks.due = pending.due
 	}
 }
 
-// flushAcks lets acknowledgements ride on messages of this flush, and sends
-// the rest on their own when they are due.
+// flushAcks adds acknowledgements to the messages of this flush and sends the others on their own
+// if they are due.
 func (c *Core) flushAcks(now time.Time) {
 	for i := range c.out.Sends {
 		l := c.links[c.out.Sends[i].Link]
@@ -344,19 +358,20 @@
 	}
 	c.acks.due = time.Time{}
 	for _, a := range c.pool.Agents() {
-		c.sendAcks(now, a.ID)
+		c.sendDueAcks(now, a.ID)
 	}
 	for agent := range c.acks.byAgent {
-		if _, ok := c.linked[agent]; !ok {
-			delete(c.acks.byAgent, agent) // it ages the results out by itself
+		if _, ok := c.linkByAgent[agent]; !ok {
+			delete(c.acks.byAgent, agent) // the agent drops the results by their age
 		}
 	}
 }
 
-// sendAcks sends the acknowledgements for an agent on their own if they are due.
-func (c *Core) sendAcks(now time.Time, agent rank.ID) {
+// sendDueAcks sends the acknowledgements for an agent on their own if they are due, and otherwise
+// takes their time into account in ackBuffer.due.
+func (c *Core) sendDueAcks(now time.Time, agent rank.ID) {
 	pending := c.acks.byAgent[agent]
-	id, ok := c.linked[agent]
+	id, ok := c.linkByAgent[agent]
 	if pending == nil || !ok {
 		return
 	}
@@ -367,6 +382,6 @@
 		return
 	}
 	delete(c.acks.byAgent, agent)
-	c.message(id).Acks = pending.list
+	c.messageFor(id).Acks = pending.list
 	c.stats.WastedAck++
 }
--- a/core/dispatch/results.go
+++ b/core/dispatch/results.go
@@ -10,47 +10,48 @@
 	"peridotpick.example/wire"
 )
 
-// result handles the end of one attempt.
-func (c *Core) result(now time.Time, a *rank.Agent, r *wire.Result) {
-	j := c.jobs[r.Submission]
-	if j == nil || int(r.Index) >= len(j.tasks) {
+// handleResult handles the end of one attempt. Results of attempts that are not in flight are
+// ignored.
+func (c *Core) handleResult(now time.Time, a *rank.Agent, r *wire.Result) {
+	sub := c.submissions[r.Submission]
+	if sub == nil || int(r.Index) >= len(sub.tasks) {
 		c.stats.WastedUnmatched++
 		return
 	}
-	t := j.tasks[r.Index]
-	f := t.flightAt(a.ID, r.Attempt)
-	if f == nil {
+	t := sub.tasks[r.Index]
+	att := t.findAttempt(a.ID, r.Attempt)
+	if att == nil {
 		c.stats.WastedUnmatched++
 		return
 	}
 	if wire.Sum(r.Payload) != r.Sum && len(r.Payload) > 0 {
 		c.stats.Corrupt++
-		if f.lost {
-			c.flightGone(now, t, *f)
+		if att.unconfirmed {
+			c.loseAttempt(now, t, *att)
 			return
 		}
-		f.lost = true
-		c.fence(j, a.ID) // ask once more: the agent still holds the result
+		att.unconfirmed = true
+		c.sendFence(sub, a.ID) // the agent still holds the result and sends it again in its reply
 		return
 	}
-	sent := *f
-	c.removeFlight(t, sent)
+	sent := *att
+	c.removeAttempt(t, sent)
 	switch {
 	case r.NotRun:
-		c.notRun(now, a, t, r)
+		c.handleNotRun(now, a, t, r)
 	case r.Kind == errkind.OK:
-		c.completed(now, a, t, r)
+		c.handleCompleted(now, a, t, r)
 	default:
-		c.ranAndFailed(now, a, t, r)
+		c.handleFailed(now, a, t, r)
 	}
 }
 
-// notRun handles a refusal by the agent.
-func (c *Core) notRun(now time.Time, a *rank.Agent, t *task, r *wire.Result) {
+// handleNotRun handles an attempt that the agent refused.
+func (c *Core) handleNotRun(now time.Time, a *rank.Agent, t *task, r *wire.Result) {
 	switch r.Kind {
 	case errkind.Fenced:
-		if t.job.claimed {
-			c.lostOwnership(now, t.job)
+		if t.sub.claimed {
+			c.handleOwnershipLoss(now, t.sub)
 			return
 		}
 	case errkind.Draining:
@@ -60,102 +61,107 @@
 	c.requeue(now, t)
 }
 
-// requeue makes t wait again unless another attempt is out.
+// requeue makes t wait for an agent again unless another attempt is in flight.
 func (c *Core) requeue(now time.Time, t *task) {
-	if len(t.flights) == 0 && t.state == taskInFlight && t.job.phase == phaseRunning {
+	if len(t.attempts) == 0 && t.state == taskInFlight && t.sub.phase == phaseRunning {
 		c.enqueue(now, t)
 		return
 	}
-	if len(t.flights) == 0 && t.job.phase == phaseFencing {
+	if len(t.attempts) == 0 && t.sub.phase == phaseFencing {
 		t.state = taskWaiting
 	}
 }
 
-func (c *Core) completed(now time.Time, a *rank.Agent, t *task, r *wire.Result) {
+// handleCompleted handles an attempt that succeeded. The first one completes the task; other
+// attempts in flight are canceled.
+func (c *Core) handleCompleted(now time.Time, a *rank.Agent, t *task, r *wire.Result) {
 	c.stats.Ran++
 	c.pool.Succeeded(now, a, t.spec.kind(), r.RunTime)
-	c.retry.earn(c.settings.RetryShare)
+	c.retryBudget.add(c.settings.RetryShare)
 	if t.state == taskDone {
 		return
 	}
-	for _, f := range t.flights {
-		c.cancelFlight(t.job, t, f)
+	for _, att := range t.attempts {
+		c.cancelAttempt(t.sub, t, att)
 	}
-	c.dropFlights(t)
+	c.dropAttempts(t)
 	t.state = taskDone
 	t.result = r
-	t.job.open--
-	c.checkEnd(now, t.job)
+	t.sub.openTasks--
+	c.closeIfDone(now, t.sub)
 }
 
-// ranAndFailed handles an attempt that ran to a failure, or whose fate the
-// agent could not learn from its backend server.
-func (c *Core) ranAndFailed(now time.Time, a *rank.Agent, t *task, r *wire.Result) {
+// handleFailed handles an attempt that failed, or of which the agent could not learn from its
+// backend server how it ended. The task is retried if it is repeatable and the limits allow it.
+func (c *Core) handleFailed(now time.Time, a *rank.Agent, t *task, r *wire.Result) {
 	c.stats.Ran++
-	j := t.job
+	sub := t.sub
 	if c.pool.Failed(now, a, t.spec.kind()) {
 		c.stats.Ejected++
-		c.decide(Decision{Kind: Ejection, Agent: a.ID, Reason: r.Kind})
+		c.recordDecision(Decision{Kind: Ejection, Agent: a.ID, Reason: r.Kind})
 	}
-	t.kind = r.Kind
+	t.lastFailure = r.Kind
 	t.failures++
-	if len(t.flights) > 0 {
+	if len(t.attempts) > 0 {
 		return // the other attempt may still complete
 	}
-	if t.spec.Repeatable && t.failures < c.settings.MaxFailures && c.retry.spend() {
+	if t.spec.Repeatable && t.failures < c.settings.MaxFailures && c.retryBudget.take() {
 		c.stats.WastedRetry += 2
 		t.avoid = append(t.avoid, a.ID)
 		t.state = taskInFlight
-		c.decide(Decision{Kind: Retried, Submission: j.submission, Task: t.index, Attempt: t.attempt, Agent: a.ID, Reason: r.Kind})
+		c.recordDecision(Decision{Kind: Retried, Submission: sub.name, Task: t.index, Attempt: t.lastAttempt, Agent: a.ID, Reason: r.Kind})
 		c.requeue(now, t)
 		return
 	}
-	c.fail(now, j, r.Kind, string(r.Payload))
+	c.fail(now, sub, r.Kind, string(r.Payload))
 }
 
-func (t *task) flightAt(agent rank.ID, attempt uint32) *flight {
-	for i := range t.flights {
-		if t.flights[i].agent == agent && t.flights[i].attempt == attempt {
-			return &t.flights[i]
+// findAttempt returns the attempt in flight with this agent and number, or nil.
+func (t *task) findAttempt(agent rank.ID, number uint32) *attempt {
+	for i := range t.attempts {
+		if t.attempts[i].agent == agent && t.attempts[i].number == number {
+			return &t.attempts[i]
 		}
 	}
 	return nil
 }
 
-func (c *Core) removeFlight(t *task, f flight) {
-	c.answered(t, f)
-	t.flights = slices.DeleteFunc(t.flights, func(have flight) bool {
-		return have.agent == f.agent && have.attempt == f.attempt
+// removeAttempt removes an attempt of t from those in flight.
+func (c *Core) removeAttempt(t *task, att attempt) {
+	c.releaseAttempt(t, att)
+	t.attempts = slices.DeleteFunc(t.attempts, func(other attempt) bool {
+		return other.agent == att.agent && other.number == att.number
 	})
 }
 
-// answered stops counting an attempt as ours at its agent.
-func (c *Core) answered(t *task, f flight) {
-	if team := c.teams[t.job.team]; team != nil && team.inFlight > 0 {
+// releaseAttempt stops counting an attempt as in flight for its team and at its agent.
+func (c *Core) releaseAttempt(t *task, att attempt) {
+	if team := c.teams[t.sub.team]; team != nil && team.inFlight > 0 {
 		team.inFlight--
 	}
-	a := c.pool.Get(f.agent)
+	a := c.pool.Get(att.agent)
 	if a == nil {
 		return
 	}
 	a.Answered()
-	if f.overdue {
+	if att.overdue {
 		a.Overdue(-1)
 	}
 }
 
-func sortJobs(list []*job) {
-	slices.SortFunc(list, func(a, b *job) int { return cmp.Compare(a.submission, b.submission) })
+// sortSubmissions sorts subs by name.
+func sortSubmissions(subs []*submission) {
+	slices.SortFunc(subs, func(a, b *submission) int { return cmp.Compare(a.name, b.name) })
 }
 
 func containsID(list []rank.ID, id rank.ID) bool { return slices.Contains(list, id) }
 
 // removeID removes id from list and reports whether it was there.
 func removeID(list *[]rank.ID, id rank.ID) bool {
-	at := slices.Index(*list, id)
-	if at < 0 {
+	i := slices.Index(*list, id)
+	if i < 0 {
 		return false
 	}
-	*list = slices.Delete(*list, at, at+1)
+	*list = slices.Delete(*list, i, i+1)
 	return true
 }
--- a/core/dispatch/settings.go
+++ b/core/dispatch/settings.go
@@ -9,77 +9,81 @@
 // Settings are the limits and weights of an entry.
 type Settings struct {
 	Rank rank.Params
-	// MaxWaiting bounds the tasks that wait for an agent.
+	// MaxWaiting is the number of tasks that may be open beyond the slots of all agents.
 	MaxWaiting int
-	// MaxFailures is the number of failed attempts that end a repeatable task.
+	// MaxFailures is the number of failed attempts after which a repeatable task has failed.
 	MaxFailures int
-	// RetryBurst and RetryShare bound retries: a burst, refilled by a share of
-	// each completed task.
+	// RetryBurst is the capacity of the token bucket that limits retries, one token each. Each
+	// successful attempt adds RetryShare tokens.
 	RetryBurst float64
 	RetryShare float64
-	// HedgeBurst and HedgeShare bound hedges in the same way; a zero share
-	// turns hedging off.
+	// HedgeBurst is the capacity of the token bucket that limits hedges, one token each. Each
+	// attempt that may be hedged adds HedgeShare tokens; a zero share turns hedging off.
 	HedgeBurst float64
 	HedgeShare float64
-	// HedgeFactor times the learned upper quantile of run times is when a
-	// running task counts as a straggler.
+	// HedgeFactor times the learned upper quantile of run times is the run time from which a task
+	// is a straggler and may be hedged.
 	HedgeFactor float64
-	// SpareSlots is the number of slots at each agent that a team with more than
-	// its share leaves free while other teams are active, so that these need not
-	// wait for one.
+	// SpareSlots is the number of slots at each agent that a team which uses its whole share leaves
+	// free while other teams are active, so that these need not wait for a slot.
 	SpareSlots float64
-	// ClaimWait bounds the time a claim waits to be sent to the table service.
+	// ClaimWait is how long the insertion of a claim may wait to be sent to the table service, and
+	// how long callers wait for the status of a write that was sent and not answered.
 	ClaimWait time.Duration
-	// PeerRetry is the pause before another entry is asked again.
-	PeerRetry time.Duration
-	// CandidateWait is how long a task may wait for its submission's candidate
-	// agents before more are added to the claim.
+	// PeerRetryPause is the pause before another entry is asked again and before a claim write is
+	// repeated.
+	PeerRetryPause time.Duration
+	// CandidateWait is how long tasks may wait for the candidates of their submission before more
+	// candidates are added to the claim.
 	CandidateWait time.Duration
-	// Spares is the number of candidate agents beyond those needed.
-	Spares int
-	// AckDelay is how long acknowledgements wait for a message to ride on.
+	// SpareCandidates is the number of candidates beyond those that the tasks need.
+	SpareCandidates int
+	// AckDelay is how long an acknowledgement waits to be piggybacked on another message before it
+	// is sent on its own.
 	AckDelay time.Duration
-	// ClassShare is the part of MaxWaiting that each class may fill.
+	// ClassShare is the part of MaxWaiting that applies to submissions of each class.
 	ClassShare [Classes]float64
 }
 
 // Classes is the number of urgency classes; 0 is the most urgent.
 const Classes = 3
 
-// Class names of the wire.
+// Urgency classes, as numbered in messages.
 const (
 	Urgent uint8 = iota
 	Interactive
 	Batch
 )
 
-// DefaultSettings returns the settings used unless configured otherwise.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
-		Rank:          rank.DefaultParams(),
-		MaxWaiting:    8192,
-		MaxFailures:   4,
-		RetryBurst:    64,
-		RetryShare:    0.1,
-		HedgeBurst:    16,
-		HedgeShare:    0.02,
-		HedgeFactor:   2,
-		SpareSlots:    1,
-		ClaimWait:     time.Second,
-		PeerRetry:     200 * time.Millisecond,
-		CandidateWait: 300 * time.Millisecond,
-		Spares:        3,
-		AckDelay:      5 * time.Second,
-		ClassShare:    [Classes]float64{1, 0.8, 0.6},
+		Rank:            rank.DefaultParams(),
+		MaxWaiting:      8192,
+		MaxFailures:     4,
+		RetryBurst:      64,
+		RetryShare:      0.1,
+		HedgeBurst:      16,
+		HedgeShare:      0.02,
+		HedgeFactor:     2,
+		SpareSlots:      1,
+		ClaimWait:       time.Second,
+		PeerRetryPause:  200 * time.Millisecond,
+		CandidateWait:   300 * time.Millisecond,
+		SpareCandidates: 3,
+		AckDelay:        5 * time.Second,
+		ClassShare:      [Classes]float64{1, 0.8, 0.6},
 	}
 }
 
-// bucket is a token bucket filled by events instead of time.
-type bucket struct{ tokens, max float64 }
+// tokenBucket is a token bucket that is refilled by events instead of time.
+type tokenBucket struct{ tokens, max float64 }
 
-func (b *bucket) earn(share float64) { b.tokens = min(b.max, b.tokens+share) }
+// add adds share tokens, up to the capacity.
+func (b *tokenBucket) add(share float64) { b.tokens = min(b.max, b.tokens+share) }
 
-func (b *bucket) spend() bool {
+// take removes one token and reports whether there was one.
+func (b *tokenBucket) take() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/core/dispatch/takeover.go
+++ b/core/dispatch/takeover.go
@@ -8,161 +8,166 @@
 	"peridotpick.example/wire"
 )
 
-// Resume takes up a submission whose owner is lost. request is nil if its
-// content is not known; then only its end is recorded.
+// Resume takes over a submission whose owner is lost. request is nil if its content is not known;
+// then no task is started, and only the results of started tasks are collected and recorded.
 func (c *Core) Resume(now time.Time, row *claim.Row, version uint64, request *Request) {
-	if c.jobs[row.Submission] != nil {
+	if c.submissions[row.Submission] != nil {
 		return
 	}
-	orphan := request == nil
-	if orphan {
+	gatherOnly := request == nil
+	if gatherOnly {
 		request = &Request{
 			Submission: row.Submission, Claimed: true, Digest: row.Digest, Weight: 1,
-			Tasks: make([]TaskSpec, row.Tasks), Deadline: orphanDeadline,
+			Tasks: make([]TaskSpec, row.Tasks), Deadline: gatherTimeout,
 		}
 	}
-	j := c.newJob(now, request)
-	j.orphan = orphan
-	c.takeOver(now, j, row, version)
+	sub := c.newSubmission(now, request)
+	sub.gatherOnly = gatherOnly
+	c.takeOver(now, sub, row, version)
 }
 
-// orphanDeadline bounds the time to gather what agents know of an orphan.
-const orphanDeadline = 10 * time.Second
+// gatherTimeout is the time to collect results for a submission that starts nothing more.
+const gatherTimeout = 10 * time.Second
 
-// adopt acts on the row that is in force for j's key.
-func (c *Core) adopt(now time.Time, j *job, row *claim.Row, version uint64) {
-	if row.Phase != claim.Void && row.Digest != j.digest {
-		c.answer(j, &wire.Outcome{Kind: errkind.KeyConflict, Detail: "the key belongs to a request with other content"})
-		c.end(now, j)
+// followRow continues sub according to the row that the table holds for its key.
+func (c *Core) followRow(now time.Time, sub *submission, row *claim.Row, version uint64) {
+	if row.Phase != claim.Void && row.Digest != sub.digest {
+		c.answerWaiters(sub, &wire.Outcome{Kind: errkind.KeyConflict, Detail: "the key belongs to a request with other content"})
+		c.end(now, sub)
 		return
 	}
 	switch row.Phase {
 	case claim.Closed:
 		c.stats.Attached++
-		c.answer(j, row.Outcome)
-		c.end(now, j)
+		c.answerWaiters(sub, row.Outcome)
+		c.end(now, sub)
 	case claim.Void:
-		j.phase = phaseClaiming
-		c.write(j, &claim.Row{Epoch: row.Epoch + 1, Candidates: c.plan(j)}, version, j.deadline.Add(-claimMargin))
+		sub.phase = phaseClaiming
+		c.writeRow(sub, &claim.Row{Epoch: row.Epoch + 1, Candidates: c.planCandidates(sub)}, version, sub.deadline.Add(-claimMargin))
 	default:
-		j.history = true
+		sub.mayHaveRunBefore = true
 		if row.Owner.ID == c.self.ID {
-			// This incarnation has forgotten it, or an earlier one held it.
-			c.takeOver(now, j, row, version)
+			// An earlier incarnation of this entry owned the submission, or this one has dropped it.
+			c.takeOver(now, sub, row, version)
 			return
 		}
-		j.phase = phaseAttached
-		j.owner = row.Owner
-		j.epoch = row.Epoch
-		j.version = version
-		j.candidates = row.Candidates
-		j.stored = row.Request
-		c.accept(j)
-		if len(j.waiters) == 0 {
-			c.end(now, j)
+		sub.phase = phaseAwaitingOwner
+		sub.owner = row.Owner
+		sub.epoch = row.Epoch
+		sub.version = version
+		sub.candidates = row.Candidates
+		sub.encodedRequest = row.Request
+		c.answerAsyncWaiters(sub)
+		if len(sub.waiters) == 0 {
+			c.end(now, sub)
 			return
 		}
-		c.askOwner(j)
+		c.askOwner(sub)
 	}
 }
 
-func (c *Core) askOwner(j *job) {
-	if j.phase != phaseAttached {
+// askOwner requests the outcome from the owner, in phase awaiting owner.
+func (c *Core) askOwner(sub *submission) {
+	if sub.phase != phaseAwaitingOwner {
 		return
 	}
-	c.out.Awaits = append(c.out.Awaits, PeerAwait{Submission: j.submission, Owner: j.owner, Cancel: j.cancelAsked})
+	c.out.Awaits = append(c.out.Awaits, PeerAwait{Submission: sub.name, Owner: sub.owner, Cancel: sub.cancelRequested})
 }
 
-// PeerFate is what came of asking another entry.
+// PeerFate is the result of a request to another entry.
 type PeerFate uint8
 
-// Fates of a question to the owner of a submission.
+// Results of a request to the owner of a submission.
 const (
-	// PeerAnswered: the reply is valid.
+	// PeerAnswered: the owner replied.
 	PeerAnswered PeerFate = iota
-	// PeerRefused: nothing listens at the owner's address, or another incarnation does.
+	// PeerRefused: nothing listens at the owner's address, or another incarnation does. The owner
+	// has ended.
 	PeerRefused
-	// PeerSilent: no answer in time.
+	// PeerSilent: the request timed out.
 	PeerSilent
 )
 
-// maxPeerSilence is the number of silent tries after which a submission is
-// taken over. Fencing makes a hasty takeover safe, only wasteful.
-const maxPeerSilence = 2
+// maxOwnerTimeouts is the number of requests to the owner in a row that may time out before the
+// submission is taken over. A takeover from a live owner is safe because of fencing, but wastes
+// messages.
+const maxOwnerTimeouts = 2
 
-// PeerReplied handles the result of a PeerAwait.
-func (c *Core) PeerReplied(now time.Time, submission string, owner uint64, fate PeerFate, reply *wire.AwaitReply) {
-	j := c.jobs[submission]
-	if j == nil || j.phase != phaseAttached || j.owner.Incarnation != owner {
+// PeerReplied handles the result of a PeerAwait. owner is the incarnation that was asked; reply is
+// valid with PeerAnswered only.
+func (c *Core) PeerReplied(now time.Time, name string, owner uint64, status PeerFate, reply *wire.AwaitReply) {
+	sub := c.submissions[name]
+	if sub == nil || sub.phase != phaseAwaitingOwner || sub.owner.Incarnation != owner {
 		return
 	}
 	switch {
-	case fate == PeerAnswered && reply.Outcome != nil:
-		c.answer(j, reply.Outcome)
-		c.end(now, j)
-	case fate == PeerAnswered && reply.Known:
-		j.peerFails = 0
-		c.askOwner(j)
-	case fate == PeerAnswered:
-		c.later(now, j) // learn what is in force now
-	case fate == PeerRefused || j.peerFails+1 >= maxPeerSilence:
-		row := &claim.Row{Epoch: j.epoch, Candidates: j.candidates}
-		c.takeOver(now, j, row, j.version)
+	case status == PeerAnswered && reply.Outcome != nil:
+		c.answerWaiters(sub, reply.Outcome)
+		c.end(now, sub)
+	case status == PeerAnswered && reply.Known:
+		sub.ownerTimeouts = 0
+		c.askOwner(sub)
+	case status == PeerAnswered:
+		c.scheduleClaimWrite(now, sub) // the mismatch shows the row now in the table
+	case status == PeerRefused || sub.ownerTimeouts+1 >= maxOwnerTimeouts:
+		row := &claim.Row{Epoch: sub.epoch, Candidates: sub.candidates}
+		c.takeOver(now, sub, row, sub.version)
 	default:
-		j.peerFails++
-		c.after(now.Add(c.settings.PeerRetry), timer{kind: timerPeer, job: j})
+		sub.ownerTimeouts++
+		c.addTimer(now.Add(c.settings.PeerRetryPause), timer{kind: timerAskOwner, sub: sub})
 	}
 }
 
 // takeOver replaces the claim of another owner with the next epoch.
-func (c *Core) takeOver(now time.Time, j *job, row *claim.Row, version uint64) {
-	j.phase = phaseTaking
-	j.history = true
+func (c *Core) takeOver(now time.Time, sub *submission, row *claim.Row, version uint64) {
+	sub.phase = phaseTakingOver
+	sub.mayHaveRunBefore = true
 	c.stats.Takeovers++
-	c.decide(Decision{Kind: TookOver, Submission: j.submission})
+	c.recordDecision(Decision{Kind: TookOver, Submission: sub.name})
 	if len(row.Request) > 0 {
-		j.stored = row.Request
+		sub.encodedRequest = row.Request
 	}
-	c.write(j, &claim.Row{Epoch: row.Epoch + 1, Candidates: row.Candidates}, version, time.Time{})
+	c.writeRow(sub, &claim.Row{Epoch: row.Epoch + 1, Candidates: row.Candidates}, version, time.Time{})
 }
 
-// onlyGather makes j gather what a lost owner started and start nothing more:
-// its callers were answered, but what ran must be known before it is closed.
-func (c *Core) onlyGather(now time.Time, j *job) {
-	j.orphan = true
-	j.deadline = now.Add(orphanDeadline)
-	j.deadTimer = c.after(j.deadline, timer{kind: timerDeadline, job: j})
+// switchToGatherOnly makes sub collect the results of the tasks that a lost owner started, and start
+// no others: its callers were answered, but it must be known what ran before the claim is closed.
+func (c *Core) switchToGatherOnly(now time.Time, sub *submission) {
+	sub.gatherOnly = true
+	sub.deadline = now.Add(gatherTimeout)
+	sub.deadlineTimer = c.addTimer(sub.deadline, timer{kind: timerDeadline, sub: sub})
 }
 
-// abandon forgets what this entry did for a submission that another one owns
-// now. Agents are not told: the new owner needs what they keep.
-func (c *Core) abandon(j *job) {
-	for _, t := range j.tasks {
-		c.dropFlights(t)
+// dropLocalState forgets the tasks and attempts of a submission that another entry owns now. Agents
+// are not told, since the new owner needs the results that they hold.
+func (c *Core) dropLocalState(sub *submission) {
+	for _, t := range sub.tasks {
+		c.dropAttempts(t)
 		t.state = taskDone
 	}
-	j.tasks = nil
-	j.touched = nil
-	j.unfenced = nil
-	j.gone = nil
-	j.outcome = nil
-	j.widening = false
-	j.history = true
+	sub.tasks = nil
+	sub.contacted = nil
+	sub.unfenced = nil
+	sub.lostCandidates = nil
+	sub.outcome = nil
+	sub.widening = false
+	sub.mayHaveRunBefore = true
 }
 
-// lostOwnership reacts to proof that another entry owns j.
-func (c *Core) lostOwnership(now time.Time, j *job) {
-	if j.phase != phaseRunning && j.phase != phaseFencing {
-		return // a write under way will tell
+// handleOwnershipLoss handles proof from an agent that another entry owns sub. It reads the claim by
+// a write that is expected to mismatch.
+func (c *Core) handleOwnershipLoss(now time.Time, sub *submission) {
+	if sub.phase != phaseRunning && sub.phase != phaseFencing {
+		return // the claim write of the other phases shows the new owner
 	}
-	if j.writing != nil {
+	if sub.pendingWrite != nil {
 		return
 	}
-	c.abandon(j)
-	if len(j.waiters) == 0 {
-		c.end(now, j)
+	c.dropLocalState(sub)
+	if len(sub.waiters) == 0 {
+		c.end(now, sub)
 		return
 	}
-	j.phase = phaseAttached
-	c.writeFreshClaim(now, j)
+	sub.phase = phaseAwaitingOwner
+	c.writeClaim(now, sub)
 }
--- a/core/dispatch/timers.go
+++ b/core/dispatch/timers.go
@@ -7,86 +7,99 @@
 	"peridotpick.example/core/rank"
 )
 
-// timerKind says what a timer is for.
+// timerKind is the purpose of a timer.
 type timerKind uint8
 
 const (
+	// timerDeadline: the deadline of the submission.
 	timerDeadline timerKind = iota
-	timerPeer
-	timerCandidates
+	// timerAskOwner asks the owner for the outcome again.
+	timerAskOwner
+	// timerWidenClaim adds candidates to the claim.
+	timerWidenClaim
+	// timerHedge: the attempt has run for so long that the task may be hedged.
 	timerHedge
+	// timerOverdue: the attempt has run for so long that it counts against its agent.
 	timerOverdue
-	timerLapse
-	timerReclaim
-	// timerUnknown gives a claim of unknown fate up.
-	timerUnknown
-	// timerWaiter ends the wait of a caller that attached to a submission.
-	timerWaiter
+	// timerRetryInDoubt starts a task in doubt again.
+	timerRetryInDoubt
+	// timerClaimWrite requests the claim write that the phase needs.
+	timerClaimWrite
+	// timerClaimUnknown gives up a claim whose write still has an unknown status.
+	timerClaimUnknown
+	// timerWaiterDeadline: the deadline of a caller that is attached to the submission.
+	timerWaiterDeadline
 )
 
-// timer is one entry of the heap. A timer whose job has ended is skipped.
+// timer is an element of the timer heap. A timer whose submission has ended is skipped.
 type timer struct {
 	at   time.Time
 	kind timerKind
-	job  *job
+	sub  *submission
 	task *task
-	// agent and attempt name the flight that the timer is about.
+	// agent and attempt identify the attempt of task that the timer is for.
 	agent   rank.ID
 	attempt uint32
-	// request is the caller whose wait ends.
+	// request is the waiter of timerWaiterDeadline, or the nonce of the write of timerClaimUnknown.
 	request uint64
-	pos     int
-	seq     uint64
+	// index is the position in the heap, -1 if the timer is not in it.
+	index int
+	// seq is the order of creation.
+	seq uint64
 }
 
-func (c *Core) after(at time.Time, t timer) *timer {
+// addTimer adds a timer that fires at the given time.
+func (c *Core) addTimer(at time.Time, t timer) *timer {
 	t.at = at
 	c.timerSeq++
 	t.seq = c.timerSeq
-	armed := &t
-	heap.Push(&c.timers, armed)
-	return armed
+	added := &t
+	heap.Push(&c.timers, added)
+	return added
 }
 
-func (c *Core) disarm(t *timer) {
-	if t != nil && t.pos >= 0 {
-		heap.Remove(&c.timers, t.pos)
+// removeTimer removes a timer that has not fired. It accepts nil.
+func (c *Core) removeTimer(t *timer) {
+	if t != nil && t.index >= 0 {
+		heap.Remove(&c.timers, t.index)
 	}
 }
 
+// runTimers fires the timers that are due.
 func (c *Core) runTimers(now time.Time) {
 	for len(c.timers) > 0 && !now.Before(c.timers[0].at) {
 		t := heap.Pop(&c.timers).(*timer)
-		if t.job.ended {
+		if t.sub.ended {
 			continue
 		}
-		c.fire(now, t)
+		c.fireTimer(now, t)
 	}
 }
 
-func (c *Core) fire(now time.Time, t *timer) {
+func (c *Core) fireTimer(now time.Time, t *timer) {
 	switch t.kind {
 	case timerDeadline:
-		c.deadlinePassed(now, t.job)
-	case timerPeer:
-		c.askOwner(t.job)
-	case timerCandidates:
-		c.widen(now, t.job)
+		c.handleDeadline(now, t.sub)
+	case timerAskOwner:
+		c.askOwner(t.sub)
+	case timerWidenClaim:
+		c.widenClaim(now, t.sub)
 	case timerHedge:
 		c.hedgeStraggler(now, t.task, t.agent, t.attempt)
 	case timerOverdue:
 		c.markOverdue(t.task, t.agent, t.attempt)
-	case timerLapse:
-		c.lapsed(now, t.task, t.agent)
-	case timerUnknown:
-		c.claimStillUnknown(t.job, t.request)
-	case timerWaiter:
-		c.waitOver(now, t.job, t.request)
-	case timerReclaim:
-		c.writeFreshClaim(now, t.job)
+	case timerRetryInDoubt:
+		c.retryInDoubt(now, t.task, t.agent)
+	case timerClaimUnknown:
+		c.giveUpUnknownClaim(t.sub, t.request)
+	case timerWaiterDeadline:
+		c.expireWaiter(now, t.sub, t.request)
+	case timerClaimWrite:
+		c.writeClaim(now, t.sub)
 	}
 }
 
+// timerHeap orders timers by time, then by creation, so that the order is deterministic.
 type timerHeap []*timer
 
 func (h timerHeap) Len() int { return len(h) }
@@ -98,14 +111,14 @@
 }
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].pos = i
-	h[j].pos = j
+	h[i].index = i
+	h[j].index = j
 }
 
 // Push implements heap.Interface.
 func (h *timerHeap) Push(x any) {
 	t := x.(*timer)
-	t.pos = len(*h)
+	t.index = len(*h)
 	*h = append(*h, t)
 }
 
@@ -114,7 +127,7 @@
 	old := *h
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
-	last.pos = -1
+	last.index = -1
 	*h = old[:len(old)-1]
 	return last
 }
--- a/core/dispatch/weight.go
+++ b/core/dispatch/weight.go
@@ -1,22 +1,23 @@
 package dispatch
 
-// Bounds between which the response weight moves the settings. They come from
-// the curve in docs/MEASUREMENTS.md.
+// Ranges of the settings that depend on the response weight. The measurements behind them are in
+// docs/MEASUREMENTS.md.
 const (
 	maxHedgeShare  = 0.05
 	minHedgeFactor = 1.5
 	maxHedgeFactor = 4.0
 	minAwayMargin  = 1.5
 	maxAwayMargin  = 3.0
-	// refuseWeight is the weight from which a shorter wait is worth a refusal.
-	refuseWeight = 0.5
+	// awayRefuseWeight is the weight from which agents away from home refuse a task that would have
+	// to wait: the shorter wait is then worth the two messages of a refusal.
+	awayRefuseWeight = 0.5
 )
 
-// Weigh sets what trades response time against wasted messages: weight 0 means
-// the fewest messages, 1 the shortest response times.
+// Weigh derives the settings that trade response time against wasted messages from a weight
+// between 0 (fewest messages) and 1 (shortest response times).
 func (s *Settings) Weigh(weight float64) {
 	s.HedgeShare = maxHedgeShare * weight
 	s.Rank.AwayMargin = maxAwayMargin - (maxAwayMargin-minAwayMargin)*weight
-	s.Rank.AwayRefuse = weight >= refuseWeight
+	s.Rank.AwayRefuse = weight >= awayRefuseWeight
 	s.HedgeFactor = maxHedgeFactor - (maxHedgeFactor-minHedgeFactor)*weight
 }
