--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog is the part of the operator's configuration that decides
-// which jobs are taken, and on which workers their tasks run.
+// Package catalog is the part of the operator's configuration that decides which jobs are
+// admitted and which workers run their tasks.
 package catalog
 
 import (
@@ -8,28 +8,29 @@
 	"time"
 )
 
-// Queue receives the jobs of one host and path.
+// Queue is the configuration of the jobs sent to one host and path.
 type Queue struct {
 	Name string
 	// Host and Prefix select the queue; the longest prefix wins.
 	Host, Prefix string
-	// Service names the workers that run its tasks.
+	// Service is the service whose workers run the tasks.
 	Service string
-	// Priority orders classes of jobs; 0 comes first.
+	// Priority orders queues by urgency; 0 is the most urgent.
 	Priority int
 	// MaxAttempts is the number of failed runs of a task after which its job fails.
 	MaxAttempts int
-	// Stretch times the longest chain of work plus Target is the latency objective.
+	// Stretch and Target define the latency objective: Stretch times the critical path of a job's
+	// work, plus Target.
 	Stretch float64
 	Target  time.Duration
 }
 
-// Objective returns the time within which a job with the given work should end.
+// Objective returns the latency objective of a job whose critical path has the given work.
 func (q *Queue) Objective(work time.Duration) time.Duration {
 	return time.Duration(float64(work)*q.Stretch) + q.Target
 }
 
-// Limits bound what callers may send.
+// Limits restrict the requests of callers.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
@@ -37,13 +38,13 @@
 
 // Catalog is one version of the configuration.
 type Catalog struct {
-	// Version rises with each change; 0 means none.
+	// Version rises with each change; 0 means that there is no configuration.
 	Version uint64
 	Limits  Limits
 	hosts   map[string][]Queue
 }
 
-// New returns a catalog of the queues.
+// New returns a catalog with the given queues.
 func New(version uint64, limits Limits, queues []Queue) *Catalog {
 	c := &Catalog{Version: version, Limits: limits, hosts: make(map[string][]Queue)}
 	for _, q := range queues {
@@ -55,7 +56,7 @@
 	return c
 }
 
-// Named returns the queue of a name, or nil.
+// Named returns the queue with a name, or nil.
 func (c *Catalog) Named(name string) *Queue {
 	for _, list := range c.hosts {
 		for i := range list {
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// Find returns the queue of a request, or nil.
+// Find returns the queue for a request's host and path, or nil.
 func (c *Catalog) Find(host, path string) *Queue {
 	list := c.hosts[host]
 	for i := range list {
--- a/core/drains/drains.go
+++ b/core/drains/drains.go
@@ -1,10 +1,10 @@
-// Package drains keeps what a process knows of the data centres that the operator has
-// drained: their workers finish what runs and are given nothing new.
+// Package drains holds a process's view of the data centres that the operator has drained: their
+// workers finish their runs and get nothing new.
 //
-// Views are ordered by the version of the store that they were read at, and never go
-// back: a neighbour that was cut off may pass on an older one. A view also has an age,
-// the time since it was certainly the newest, so that one who depends on others for it
-// can tell when to ask the store itself.
+// A view carries the version of the store at which it was read. An older view never replaces a
+// newer one: an entry that was cut off from the store may pass on an older one. A view also has
+// an age, the time since it was certainly the newest, by which a process that depends on others
+// for its view decides when to ask the store itself.
 //
 // The package is pure: views and times go in.
 package drains
@@ -16,7 +16,7 @@
 	"peridotpick.example/wire/runs"
 )
 
-// State is what one process knows. Its zero value knows nothing.
+// State is the view of one process. The zero value has no view.
 type State struct {
 	version     uint64
 	dataCentres []string
@@ -24,8 +24,8 @@
 	confirmedAt time.Time
 }
 
-// Learn takes a view that is not older than the present one. It reports whether other
-// data centres are drained than before.
+// Learn takes a view unless it is older than the present one, and the time of its confirmation.
+// It reports whether the set of drained data centres has changed.
 func (s *State) Learn(now time.Time, v runs.Drains) (changed bool) {
 	if v.Version == 0 || v.Version < s.version {
 		return false
@@ -44,7 +44,7 @@
 	return true
 }
 
-// View returns what is known, to be passed on.
+// View returns the present view with its age, to be sent to other processes.
 func (s *State) View(now time.Time) runs.Drains {
 	if s.version == 0 {
 		return runs.Drains{}
@@ -55,7 +55,7 @@
 // Has reports whether a data centre is drained.
 func (s *State) Has(dataCentre string) bool { return slices.Contains(s.dataCentres, dataCentre) }
 
-// DataCentres returns the drained ones.
+// DataCentres returns the drained data centres.
 func (s *State) DataCentres() []string { return s.dataCentres }
 
 // Age returns the time since the view was certainly the newest.
--- a/core/drains/drains_test.go
+++ b/core/drains/drains_test.go
@@ -18,7 +18,7 @@
 	var s State
 	is.True(s.Learn(start, runs.Drains{Version: 5, DataCentres: []string{"a"}}))
 	is.True(s.Has("a"))
-	is.True(!s.Learn(start, runs.Drains{Version: 4})) // taken back before it was set again
+	is.True(!s.Learn(start, runs.Drains{Version: 4})) // an older view
 	is.True(s.Has("a"))
 	is.True(s.Learn(start, runs.Drains{Version: 9}))
 	is.True(!s.Has("a"))
@@ -26,12 +26,12 @@
 	is.True(!s.Has("a"))
 }
 
-func TestUnknownViewSaysNothing(t *testing.T) {
+func TestEmptyViewChangesNothing(t *testing.T) {
 	is := is.New(t)
 	var s State
 	is.Equal(s.View(start).Version, uint64(0))
 	s.Learn(start, runs.Drains{Version: 2, DataCentres: []string{"a"}})
-	is.True(!s.Learn(start, runs.Drains{})) // from a process that knows nothing
+	is.True(!s.Learn(start, runs.Drains{})) // from a process that has no view
 	is.Equal(s.View(start).DataCentres, []string{"a"})
 }
 
@@ -40,7 +40,7 @@
 	var s State
 	s.Learn(start, runs.Drains{Version: 5, Age: time.Second})
 	is.Equal(s.Age(start), time.Second)
-	s.Learn(start.Add(time.Second), runs.Drains{Version: 5, Age: 5 * time.Second}) // heard over a long way
+	s.Learn(start.Add(time.Second), runs.Drains{Version: 5, Age: 5 * time.Second}) // confirmed earlier
 	is.Equal(s.Age(start.Add(time.Second)), 2*time.Second)
 	s.Learn(start.Add(time.Second), runs.Drains{Version: 4}) // an older view confirms nothing
 	is.Equal(s.Age(start.Add(time.Second)), 2*time.Second)
@@ -48,8 +48,8 @@
 	is.Equal(s.Age(start.Add(time.Second)), time.Duration(0))
 }
 
-// TestExchangedViewsAgree: processes that exchange what they know in any order
-// never go back, and agree with the newest in the end.
+// TestExchangedViewsAgree: processes that exchange their views in any order never replace a view
+// by an older one, and all have the newest in the end.
 func TestExchangedViewsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := [][]string{nil}
--- a/core/leases/leases.go
+++ b/core/leases/leases.go
@@ -1,42 +1,43 @@
-// Package leases derives the leases of a run from the time of a resend.
+// Package leases derives the leases of a run from the resend time: the time after which a caller
+// whose connection broke sends its job again.
 //
-// A caller whose connection broke sends its job again after a while; by then nothing of
-// it may run. An entry's lease at an agent lasts Owner, and should the agent be lost in
-// that very moment, the worker ends the runs a Worker lease later. Together with what
-// stopping takes this stays below the time of the resend.
+// By then nothing of the job may run. An entry's lease at an agent lasts Times.Owner. If the
+// agent is lost just before it expires, the worker ends the runs when its own lease has expired,
+// up to Times.RunsOver later. Both together stay below the resend time.
 package leases
 
 import "time"
 
 const (
-	// ownerShare is the owner lease's part of the time of a resend: several beats of an
-	// entry may be lost, and most of the time is left to a lost agent's successor.
+	// ownerShare is the owner lease as a share of the resend time. Several heartbeats of an entry
+	// may be lost, and most of the time is left to the successor of a lost agent.
 	ownerShare = 0.30
-	// clockDrift is how much slower than real time the worker's clock may run.
-	clockDrift = 1.02
-	// overSlack covers the rounding of the worker's clock and its timers.
-	overSlack = 50 * time.Millisecond
+	// clockDriftFactor is the greatest real time that passes per unit of the worker's clock,
+	// which may run slow.
+	clockDriftFactor = 1.02
+	// expirySlack covers the rounding of the worker's clock and its timers.
+	expirySlack = 50 * time.Millisecond
 )
 
 // Times are the leases of a deployment.
 type Times struct {
-	// Owner is how long an entry's runs go on without a message of it.
+	// Owner is how long the runs of an entry go on without a message from it.
 	Owner time.Duration
-	// Worker is the lease that agents ask of their worker.
+	// Worker is the lease that agents request from their worker.
 	Worker time.Duration
-	// RunsOver is the time after which a worker without its agent has certainly ended
-	// all runs.
+	// RunsOver is the time after the last request of a lease by which a worker has certainly
+	// ended all runs.
 	RunsOver time.Duration
 }
 
-// For returns the leases that end in time for a resend, where stopping a run takes the
-// worker up to stop, and it grants the longest lease at most; 0 if it sets no limit.
+// For returns the leases for a resend time. stop is how long the worker may take to stop a run,
+// longest the longest lease that it grants; 0 means no limit.
 func For(resend, stop, longest time.Duration) Times {
 	owner := time.Duration(ownerShare * float64(resend))
-	ending := stop + overSlack
-	worker := time.Duration(float64(resend-owner-ending) / clockDrift)
+	ending := stop + expirySlack
+	worker := time.Duration(float64(resend-owner-ending) / clockDriftFactor)
 	if longest > 0 {
 		worker = min(worker, longest)
 	}
-	return Times{Owner: owner, Worker: worker, RunsOver: time.Duration(float64(worker)*clockDrift) + ending}
+	return Times{Owner: owner, Worker: worker, RunsOver: time.Duration(float64(worker)*clockDriftFactor) + ending}
 }
--- a/core/runner/capacity.go
+++ b/core/runner/capacity.go
@@ -2,24 +2,24 @@
 
 import "peridotpick.example/wire/runs"
 
-// The capacity of a worker may shrink and grow again while it runs. Its room is what it
-// says now less all that is there, which may leave less than nothing: nothing starts then
-// until enough has ended.
+// The capacity of a worker may shrink and grow while it runs. The free capacity is the capacity
+// announced last less that of all runs at the worker; it may be negative, and nothing starts then
+// until enough runs have ended.
 
-// handOn refuses waiting runs for which there is no room left once the worker has shrunk:
-// their entry may have room elsewhere, the most urgent stay.
-func (c *Core) handOn() {
+// refuseUnfitting refuses waiting runs that no longer fit into the worker at all: their entry may
+// find free capacity elsewhere. The most urgent runs stay.
+func (c *Core) refuseUnfitting() {
 	left := c.worker.info.Capacity
 	for r := range c.runs.Values() {
 		if r.phase != phaseWaiting {
 			left = left.Minus(r.need)
 		}
 	}
-	for _, r := range append(waiting(nil), c.queue...) {
+	for _, r := range append(runQueue(nil), c.queue...) {
 		if left.Fits(r.need) {
 			left = left.Minus(r.need)
 			continue
 		}
-		c.end(r, runs.NoRoom)
+		c.terminate(r, runs.NoRoom)
 	}
 }
--- a/core/runner/core.go
+++ b/core/runner/core.go
@@ -1,20 +1,30 @@
-// Package runner is the decision core of an agent that has tasks run on a leased
-// worker: it admits runs into the worker's room, orders starts and stops, keeps
-// the worker's lease, and tells entries how their runs ended.
+// Package runner is the decision core of an agent that runs the tasks of entries on the worker
+// beside it. It admits runs while the worker has free capacity, orders starts and stops, keeps
+// the worker's lease, and reports to entries how their runs ended.
 //
-// The core is deterministic: events and time go in, an Output with messages and
-// orders comes out. It has no clock, socket, goroutine or log.
+// The core is deterministic: events and times go in, an Output with messages and orders comes
+// out. It has no clock, socket, goroutine or log.
 //
-// What keeps a task from running twice at a time:
-//   - A run occupies the worker from the moment its start is ordered until the
-//     worker lists its end, or until it certainly will not run: its stop was
-//     answered and a later listing does not show it, or the order's own deadline
-//     has passed on the worker's clock.
-//   - An entry hears of an end only then, and starts the task elsewhere only then.
-//   - Runs of an entry whose lease is over are stopped. When the agent itself
-//     cannot do so, the worker's lease ends them.
-//   - A new agent process takes a higher fencing token before it looks at what
-//     runs, so that no order of the former process has an effect afterwards.
+// Terms:
+//   - A run is one execution of a task. Its owner is the entry that ordered it.
+//   - A poll is a call to the worker that renews its lease and lists its running and ended
+//     runs. The worker ends all its runs when the lease expires.
+//   - An incarnation is one start of a process: of an entry, or of the backend server that is
+//     the worker. A retired incarnation is one that is known to be over.
+//   - An orphan is a run that the worker lists but that no entry has ordered from this agent
+//     process or claimed, usually one of a previous process.
+//
+// A task never runs twice at a time, because:
+//   - A run occupies the worker from the moment its start is ordered until the worker lists
+//     its end, or until it certainly does not run and will not start: its stop was answered
+//     and a later listing does not show it, or the deadline of its start order has passed on
+//     the worker's clock.
+//   - Only then does the entry receive the end, and only then does it start the task
+//     elsewhere.
+//   - Runs of an entry whose lease has expired are stopped. If the agent cannot stop them,
+//     the worker's lease ends them.
+//   - A new agent process takes a higher fencing token before it asks what runs, so that no
+//     order of a previous process takes effect afterwards.
 package runner
 
 import (
@@ -27,35 +37,36 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Settings of a core.
+// Settings configure a core.
 type Settings struct {
-	// Agent names the agent's instance.
+	// Agent is the name of the agent's instance.
 	Agent string
-	// OwnerLease is how long an entry's runs go on without a message of it.
+	// OwnerLease is how long the runs of an entry go on without a message from it.
 	OwnerLease time.Duration
-	// WorkerLease is the lease that each order and each look renews.
+	// WorkerLease is the lease that each start order and each poll requests from the worker.
 	WorkerLease time.Duration
-	// LongestLease is what the worker shortens a longer lease to.
+	// LongestLease is the longest lease that the worker grants; it shortens longer ones. 0 means
+	// that it sets no limit.
 	LongestLease time.Duration
-	// LookWait is how long a look waits for an end.
+	// LookWait is how long the worker may hold a poll open while it waits for an end.
 	LookWait time.Duration
-	// AdoptWithin is how long runs of a former agent process wait for their entry.
+	// AdoptWithin is how long orphans wait to be claimed by an entry before they are stopped.
 	AdoptWithin time.Duration
-	// QueueLimit bounds the runs that wait for room.
+	// QueueLimit is the greatest number of runs that wait for free capacity.
 	QueueLimit int
-	// Beat is the longest silence on a link with runs, IdleBeat on others.
+	// Beat is the heartbeat interval on links whose entry has runs here, IdleBeat that on others.
 	Beat, IdleBeat time.Duration
-	// LateFactor is how many times its estimate a run may take before its entry is
-	// told of its progress.
+	// LateFactor is the multiple of its estimated run time after which the owner of a run
+	// receives progress reports.
 	LateFactor float64
-	// DrainsWithin is the age of what is known of drained data centres from which the
-	// store is asked itself.
+	// DrainsWithin is the age of the view of drained data centres above which the agent asks the
+	// store itself.
 	DrainsWithin time.Duration
-	// Policy says which mechanisms are in force; production runs with all.
+	// Policy selects the mechanisms in force; production uses all of them.
 	Policy policy.Policy
 }
 
-// LinkID names one link to an entry.
+// LinkID identifies one link to an entry.
 type LinkID uint64
 
 // Send is a message to an entry.
@@ -64,47 +75,48 @@
 	Msg  *runs.ToEntry
 }
 
-// Output is what the core wants done.
+// Output is what the caller of the core must carry out.
 type Output struct {
 	Sends  []Send
 	Orders []Order
-	// Closes are released links that nothing needs any more.
+	// Closes are released links whose entries have no runs here.
 	Closes []LinkID
 	// Notes are the decisions for the log.
 	Notes []Note
 }
 
-// Note is one decision about a run.
+// Note is one decision, to be logged and counted.
 type Note struct {
 	Event  string
 	Key    runs.Key
 	Entry  string
 	Reason runs.Reason
-	// Age is the age of the input that decided: the time since the run was
-	// ordered or since its owner was heard.
+	// Age is the time since the run was ordered, since the end was first listed, or since the
+	// view of drained data centres was confirmed, depending on the event.
 	Age time.Duration
-	// Version is that of the view of drained data centres, where the note is about that.
+	// Version is the version of the view of drained data centres, in decisions about drains.
 	Version uint64
-	// Worker and Former are its present and its former incarnation, where the note is
-	// about the worker.
+	// Worker and Former are the worker's present and its previous incarnation, in decisions about
+	// the worker.
 	Worker, Former runs.Life
 }
 
-// link is one entry's link.
+// link is a connection to one entry.
 type link struct {
 	id    LinkID
 	entry runs.Entry
-	// seen counts the starts received.
-	seen uint64
-	// out collects the next message.
-	out   runs.ToEntry
+	// startsReceived is the number of starts received on the link.
+	startsReceived uint64
+	// out collects the content of the next message.
+	out runs.ToEntry
+	// dirty is set if that message must be sent without delay.
 	dirty bool
-	// outdated is set while the load told last is not the present one.
-	outdated bool
-	lastSent time.Time
-	// releasedAt is when the link was given up; zero while it is in use.
+	// loadOutdated is set while the last load sent on the link differs from the present one.
+	loadOutdated bool
+	lastSent     time.Time
+	// releasedAt is when the link was released; zero while it is in use. See Release.
 	releasedAt time.Time
-	// onDemand links are kept only since their entry is short of agents.
+	// onDemand is set if the link exists only because its entry is short of agents.
 	onDemand bool
 }
 
@@ -112,49 +124,52 @@
 type Core struct {
 	settings Settings
 	worker   workerState
-	// former are incarnations of the worker that are over.
-	former lives
-	links  ordered.Map[LinkID, *link]
-	// leases are the ends of owners' leases, by incarnation.
-	leases map[uint64]time.Time
-	runs   ordered.Map[runs.Key, *run]
-	queue  waiting
-	// pendingOwned are lists of owned runs that wait until the worker was looked at.
+	// retired are the worker's incarnations that are known to be over.
+	retired retiredIncarnations
+	links   ordered.Map[LinkID, *link]
+	// ownerLeases are the ends of the leases of entries, by incarnation of the entry.
+	ownerLeases map[uint64]time.Time
+	runs        ordered.Map[runs.Key, *run]
+	queue       runQueue
+	// pendingOwned are the lists of owned runs that entries sent before the worker's runs were
+	// known.
 	pendingOwned ordered.Map[LinkID, []runs.Owned]
-	// held are ends that the worker must go on listing, by their number.
+	// held are the ends that the worker must go on listing, by their number. See heldEnd.
 	held ordered.Map[int64, *heldEnd]
-	// lookedAt is when the last look was made.
-	lookedAt time.Time
+	// polledAt is when the last poll was sent.
+	polledAt time.Time
 	recent   recentEnds
-	// lapsedEnds are ends of which it is not known yet whether the worker had crashed.
-	lapsedEnds []lapsedEnd
-	pace       pace
-	draining   bool
-	drains     drains.State
-	// emptied is true once nothing runs here any more since the data centre was drained.
-	emptied bool
-	// startedAt is the time of the first event.
+	// expiredEnds are ends by expiry of the worker's lease for which it is not known yet whether
+	// the worker had crashed.
+	expiredEnds []expiredEnd
+	speed       speedStats
+	draining    bool
+	drains      drains.State
+	// emptyReported is set once the drained worker has been reported as empty.
+	emptyReported bool
+	// startedAt is the time of the first tick.
 	startedAt   time.Time
 	loadChanged bool
-	// told is the load of the present flush; nil until a link needs it.
-	told *runs.Load
-	now  time.Time
-	out  Output
+	// sharedLoad is the part of the load that is equal for all links, computed once a flush; nil
+	// until a link needs it.
+	sharedLoad *runs.Load
+	now        time.Time
+	out        Output
 }
 
-// New returns a core without a worker.
+// New returns a core that does not know its worker yet.
 func New(s Settings) *Core {
 	return &Core{
-		settings: s, worker: workerState{info: runs.Worker{Agent: s.Agent}}, leases: make(map[uint64]time.Time),
+		settings: s, worker: workerState{info: runs.Worker{Agent: s.Agent}}, ownerLeases: make(map[uint64]time.Time),
 		recent: newRecentEnds(),
 	}
 }
 
-// Flush returns what the events since the last call ask for.
+// Flush starts waiting runs that fit and returns the messages and orders that are due.
 func (c *Core) Flush(now time.Time) Output {
 	c.now = now
 	c.startWaiting()
-	c.told = nil
+	c.sharedLoad = nil
 	for l := range c.links.Values() {
 		c.flushLink(l)
 	}
@@ -165,8 +180,8 @@
 }
 
 func (c *Core) flushLink(l *link) {
-	l.outdated = l.outdated || c.loadChanged
-	if !c.mustTell(l) {
+	l.loadOutdated = l.loadOutdated || c.loadChanged
+	if !c.messageDue(l) {
 		return
 	}
 	msg := l.out
@@ -176,164 +191,169 @@
 	c.out.Sends = append(c.out.Sends, Send{Link: l.id, Msg: &msg})
 	l.out = runs.ToEntry{}
 	l.dirty = false
-	l.outdated = false
+	l.loadOutdated = false
 	l.lastSent = c.now
 }
 
-// mustTell reports whether a message to a link is due.
-func (c *Core) mustTell(l *link) bool {
-	quiet := c.now.Sub(l.lastSent)
+// messageDue reports whether a message must be sent on a link now.
+func (c *Core) messageDue(l *link) bool {
+	sinceSent := c.now.Sub(l.lastSent)
 	switch {
 	case l.dirty:
 		return true
-	case l.outdated && quiet >= c.newsPause():
+	case l.loadOutdated && sinceSent >= c.loadUpdateInterval():
 		return true
-	case quiet < c.settings.Beat:
+	case sinceSent < c.settings.Beat:
 		return false
 	}
-	return quiet >= c.settings.IdleBeat || c.owns(l.entry.Incarnation)
+	return sinceSent >= c.settings.IdleBeat || c.hasRuns(l.entry.Incarnation)
 }
 
-// newsPerSecond bounds the messages a second that tell nothing but a new load, to all
-// entries together. Each start and end changes the load: told at once on each link it
-// is a message for each task and entry, which saturated the processors of 55 entries
-// with 240 agents on a calm day. Ends, progress and beats carry the load anyway.
-// With the six links of a subset 480 are one each 12 ms and link; with 160 a burst was
-// worth 0.842 instead of 0.866 (emulator, large, burst, two seeds).
-const newsPerSecond = 480
-
-// newsPause is the shortest silence on a link before news of the load alone. It grows
-// with the number of links, up to a beat.
-func (c *Core) newsPause() time.Duration {
-	return min(time.Duration(c.links.Len())*time.Second/newsPerSecond, c.settings.Beat)
+// loadUpdatesPerSecond limits the messages a second, to all entries together, that carry nothing
+// but a changed load. Each start and end changes the load: sending each change at once on each
+// link costs a message for each task and entry, which saturated the processors of 55 entries with
+// 240 agents on a calm day. Ends, progress reports and heartbeats carry the load anyway. With the
+// six links of a subset, 480 a second are one each 12 ms and link; with 160 a second the worth
+// earned in a burst was 0.842 instead of 0.866.
+const loadUpdatesPerSecond = 480
+
+// loadUpdateInterval returns the shortest interval between load updates on one link. It grows
+// with the number of links, up to the heartbeat interval.
+func (c *Core) loadUpdateInterval() time.Duration {
+	return min(time.Duration(c.links.Len())*time.Second/loadUpdatesPerSecond, c.settings.Beat)
 }
 
-// HasNews reports whether an entry has not been told the present load.
+// HasNews reports whether the present load has still to be sent to an entry.
 func (c *Core) HasNews() bool {
 	for l := range c.links.Values() {
-		if l.outdated {
+		if l.loadOutdated {
 			return true
 		}
 	}
 	return false
 }
 
-// LinkUp opens a link after the entry's hello.
+// LinkUp adds a link after the hello of its entry.
 func (c *Core) LinkUp(now time.Time, id LinkID, entry runs.Entry) {
 	c.now = now
-	c.dropFormer(entry)
+	c.endPreviousIncarnation(entry)
 	l := &link{id: id, entry: entry}
 	c.links.Put(id, l)
-	c.tellWorker(l)
-	c.tellHeld(l)
+	c.sendWorker(l)
+	c.resendHeldEnds(l)
 }
 
-// dropFormer stops the runs of a former incarnation of an entry.
-func (c *Core) dropFormer(entry runs.Entry) {
+// endPreviousIncarnation expires the leases of previous incarnations of an entry, and so ends
+// their runs.
+func (c *Core) endPreviousIncarnation(entry runs.Entry) {
 	for r := range c.runs.Values() {
 		if r.owner.Address == entry.Address && r.owner.Incarnation != entry.Incarnation {
-			c.leases[r.owner.Incarnation] = time.Time{}
+			c.ownerLeases[r.owner.Incarnation] = time.Time{}
 		}
 	}
 	c.expireOwners()
 }
 
-// LinkDown closes a link. Its entry's runs go on until the lease is over.
+// LinkDown removes a link. The runs of its entry go on until its lease expires.
 func (c *Core) LinkDown(now time.Time, id LinkID) {
 	c.now = now
 	c.links.Delete(id)
 	c.pendingOwned.Delete(id)
 }
 
-// Receive handles a message of an entry.
+// Receive handles a message from an entry.
 func (c *Core) Receive(now time.Time, id LinkID, msg *runs.ToAgent) {
 	c.now = now
 	l := c.links.Get(id)
 	if l == nil {
 		return
 	}
-	c.renew(l, msg.Clock)
+	c.renewLease(l, msg.Clock)
 	if msg.Drains != nil {
-		c.takeDrains(*msg.Drains, msg.Clock) // before the starts of the same message
+		c.receiveDrains(*msg.Drains, msg.Clock) // before the starts of the same message
 	}
 	if msg.Owned != nil {
 		c.pendingOwned.Put(id, msg.Owned)
 		c.reconcile()
 	}
-	c.noted(msg.Noted)
-	c.void(msg.Void)
+	c.releaseEnds(msg.Noted)
+	c.voidEnds(msg.Void)
 	for i := range msg.Starts {
-		l.seen++
+		l.startsReceived++
 		c.admit(l, &msg.Starts[i], msg.Clock)
 	}
 	for _, key := range msg.Withdraws {
 		if r := c.runs.Get(key); r != nil && r.phase == phaseWaiting && r.owner.Incarnation == l.entry.Incarnation {
-			c.end(r, runs.Asked)
+			c.terminate(r, runs.Asked)
 		}
 	}
 	for _, key := range msg.Stops {
-		c.stopAsked(l, key, false)
+		c.handleStopRequest(l, key, false)
 	}
 	for _, key := range msg.Moves {
-		c.stopAsked(l, key, true)
+		c.handleStopRequest(l, key, true)
 	}
 }
 
-// renew lets the lease of a link's entry last from a reading of this agent's clock.
-func (c *Core) renew(l *link, reading int64) {
+// renewLease extends the lease of a link's entry to OwnerLease after the given reading of this
+// agent's clock, in Unix ns. 0 means no reading.
+func (c *Core) renewLease(l *link, reading int64) {
 	if reading == 0 {
 		return
 	}
 	until := time.Unix(0, reading).Add(c.settings.OwnerLease)
-	if until.After(c.leases[l.entry.Incarnation]) {
-		c.leases[l.entry.Incarnation] = until
+	if until.After(c.ownerLeases[l.entry.Incarnation]) {
+		c.ownerLeases[l.entry.Incarnation] = until
 	}
 }
 
-func (c *Core) leased(entry runs.Entry) bool { return c.now.Before(c.leases[entry.Incarnation]) }
+// hasLease reports whether an entry's lease is valid.
+func (c *Core) hasLease(entry runs.Entry) bool { return c.now.Before(c.ownerLeases[entry.Incarnation]) }
 
-// Tick handles the passing of time.
+// Tick handles what is due by time alone. The caller calls it before each event and at regular
+// intervals.
 func (c *Core) Tick(now time.Time) {
 	c.now = now
 	if c.startedAt.IsZero() {
 		c.startedAt = now
 	}
 	c.expireOwners()
-	c.expireLeft()
-	c.expireWorker()
-	c.expireStranded()
+	c.expireLeaving()
+	c.expireWorkerLease()
+	c.expireInFlight()
 	c.expireWaiting()
 	c.stopOrphans()
 	c.retryStops()
-	c.boundHeld()
-	c.forgetVoid()
-	c.askAboutHeld()
-	c.forgetLeases()
+	c.limitHeldEnds()
+	c.deleteVoidEnds()
+	c.askAboutHeldEnds()
+	c.deleteExpiredLeases()
 	c.closeReleased()
-	c.noteEmptied()
+	c.recordEmptied()
 }
 
-// expireOwners ends the runs of entries whose lease is over.
+// expireOwners ends the runs of entries whose lease has expired.
 func (c *Core) expireOwners() {
 	for r := range c.runs.Values() {
-		if r.orphan || c.leased(r.owner) {
+		if r.orphan || c.hasLease(r.owner) {
 			continue
 		}
-		c.mustEnd(r, c.lapsed(r))
-		c.end(r, runs.NoLease)
+		c.setEndDeadline(r, c.ownerLeaseEnd(r))
+		c.terminate(r, runs.NoLease)
 	}
 }
 
-// forgetLeases drops leases that are over and have no runs.
-func (c *Core) forgetLeases() {
-	for incarnation, until := range c.leases {
-		if c.now.After(until) && !c.owns(incarnation) {
-			delete(c.leases, incarnation)
+// deleteExpiredLeases deletes expired leases of entries that have no runs here.
+func (c *Core) deleteExpiredLeases() {
+	for incarnation, until := range c.ownerLeases {
+		if c.now.After(until) && !c.hasRuns(incarnation) {
+			delete(c.ownerLeases, incarnation)
 		}
 	}
 }
 
-func (c *Core) owns(incarnation uint64) bool {
+// hasRuns reports whether an incarnation of an entry has runs here.
+func (c *Core) hasRuns(incarnation uint64) bool {
 	for r := range c.runs.Values() {
 		if r.owner.Incarnation == incarnation {
 			return true
@@ -342,31 +362,31 @@
 	return false
 }
 
-// Drain refuses all work that has not begun and all new work.
+// Drain refuses all waiting runs and all further starts.
 func (c *Core) Drain(now time.Time) {
 	c.now = now
 	c.draining = true
 	c.refuseWaiting(runs.Draining)
-	c.workerChanged()
+	c.sendWorkerToAll()
 }
 
-// Runs returns the number of runs, those that wait included.
+// Runs returns the number of runs, including waiting ones.
 func (c *Core) Runs() int { return c.runs.Len() }
 
-// Idle reports whether nothing runs.
+// Idle reports whether the core has no runs, including waiting ones.
 func (c *Core) Idle() bool { return c.runs.Len() == 0 }
 
-// Busy reports whether the worker has to be looked at.
-func (c *Core) Busy() bool {
+// NeedsPoll reports whether the worker has to be polled.
+func (c *Core) NeedsPoll() bool {
 	w := &c.worker
-	if !w.known || !w.leftAt.IsZero() {
+	if !w.known || !w.leavingSince.IsZero() {
 		return false
 	}
-	return !w.synced || c.lapsing() || w.candidate.ID != "" || w.doubted || c.occupied() > 0 || w.acknowledged < c.notedUpTo()
+	return !w.synced || c.awaitsLeaseExpiry() || w.candidate.ID != "" || w.restartSuspected || c.runsAtWorker() > 0 || w.acknowledged < c.ackUpTo()
 }
 
-// occupied returns the number of runs that may be at the worker.
-func (c *Core) occupied() int {
+// runsAtWorker returns the number of runs that may be at the worker.
+func (c *Core) runsAtWorker() int {
 	n := 0
 	for r := range c.runs.Values() {
 		if r.phase != phaseWaiting {
@@ -376,8 +396,9 @@
 	return n
 }
 
-// roomLeft returns the room that the runs at the worker leave.
-func (c *Core) roomLeft() room.Room {
+// freeCapacity returns the capacity that the runs at the worker leave. It is zero while there are
+// orphans.
+func (c *Core) freeCapacity() room.Room {
 	left := c.worker.info.Capacity
 	for r := range c.runs.Values() {
 		switch {
@@ -387,11 +408,11 @@
 			left = left.Minus(r.need)
 		}
 	}
-	return c.roomBeside(left)
+	return c.isolatedCapacity(left)
 }
 
-// Owes reports whether runs of a link's entry are here.
+// Owes reports whether the entry of a link has runs here.
 func (c *Core) Owes(id LinkID) bool {
 	l := c.links.Get(id)
-	return l != nil && c.owns(l.entry.Incarnation)
+	return l != nil && c.hasRuns(l.entry.Incarnation)
 }
--- a/core/runner/crash.go
+++ b/core/runner/crash.go
@@ -5,23 +5,24 @@
 	"peridotpick.example/wire/runs"
 )
 
-// A task may crash each worker that starts it. Its entry counts the workers that were lost
-// under each task. To tell such a task from those that ran beside it, a crash is put down
-// to the run that had begun last, and a task that is suspected already runs apart from
-// other suspects, or alone.
+// A task may crash every worker that starts it. Its entry counts the workers that were lost while
+// the task ran there. To tell such a task from those that ran beside it, a crash is blamed on the
+// run that started last, and a task that is already suspected runs apart from other suspects, or
+// alone.
 
-// lostReason tells why the runs of the present incarnation are over.
-func (c *Core) lostReason() runs.Reason {
-	if c.worker.info.Draining || !c.worker.leftAt.IsZero() {
-		return runs.NoWorker // it has said that it leaves
+// currentLossReason returns the reason with which the runs of the present incarnation end if it
+// is over.
+func (c *Core) currentLossReason() runs.Reason {
+	if c.worker.info.Draining || !c.worker.leavingSince.IsZero() {
+		return runs.NoWorker // it announced that it leaves
 	}
 	return runs.Crashed
 }
 
-// markSuspects marks the run to which the loss of the worker is put down, if that is a
-// crash: the last that has certainly begun.
-func (c *Core) markSuspects() {
-	if c.lostReason() != runs.Crashed {
+// markSuspect marks the run on which the loss of the worker is blamed, if that is a crash: the
+// last one that has certainly started.
+func (c *Core) markSuspect() {
+	if c.currentLossReason() != runs.Crashed {
 		return
 	}
 	var last *run
@@ -35,9 +36,9 @@
 	}
 }
 
-// lostEnd is the end of a run that was lost with its worker. A start without an answer may
-// have found the worker gone: that is no crash under it, unless it was to be alone there.
-func (c *Core) lostEnd(r *run, how runs.How, reason runs.Reason) runs.End {
+// lossEnd returns the end of a run that was lost with its worker. If its start got no answer, the
+// worker may have been gone before: the run is not blamed then, unless it required to run alone.
+func (c *Core) lossEnd(r *run, how runs.How, reason runs.Reason) runs.End {
 	end := runs.End{Key: r.key, How: how, Reason: reason}
 	if reason != runs.Crashed {
 		return end
@@ -51,38 +52,38 @@
 	return end
 }
 
-// lapsedEnd is an end by a lease that ran out while the worker was out of reach: whether it
-// has crashed shows when it is back.
-type lapsedEnd struct {
+// expiredEnd is an end by expiry of the lease while the worker was unreachable. Whether the
+// worker had crashed is known once it answers again.
+type expiredEnd struct {
 	end   runs.End
 	owner runs.Entry
 }
 
-// rememberLapsed keeps the present runs for the time when the worker is back.
-func (c *Core) rememberLapsed() {
+// keepExpiredEnds keeps the ends of the present runs until the worker answers again.
+func (c *Core) keepExpiredEnds() {
 	for r := range c.runs.Values() {
 		if r.phase != phaseWaiting && !r.orphan && !r.confirmedAt.IsZero() {
-			c.lapsedEnds = append(c.lapsedEnds, lapsedEnd{c.lostEnd(r, runs.Gone, runs.Crashed), r.owner})
+			c.expiredEnds = append(c.expiredEnds, expiredEnd{c.lossEnd(r, runs.Gone, runs.Crashed), r.owner})
 		}
 	}
 }
 
-// settleLapsed tells entries that the worker had crashed, if it had: it is back as another
-// incarnation then.
-func (c *Core) settleLapsed(crashed bool) {
-	for _, l := range c.lapsedEnds {
+// resolveExpiredEnds handles that the worker answers again. If it had crashed, it is another
+// incarnation now, and the entries receive the expired ends as crashes.
+func (c *Core) resolveExpiredEnds(crashed bool) {
+	for _, e := range c.expiredEnds {
 		if crashed {
-			c.tellLost(l.owner, l.end)
+			c.sendLoss(e.owner, e.end)
 		}
 	}
-	c.lapsedEnds = nil
+	c.expiredEnds = nil
 }
 
-// tellLost tells the owner of a run that it was lost with its worker, or all entries if the
-// owner is gone: another one may have taken its job over.
-func (c *Core) tellLost(owner runs.Entry, end runs.End) {
-	if c.linked(owner) {
-		c.tellEnd(owner, end)
+// sendLoss sends the end of a run that was lost with its worker to the owner, or to all entries
+// if the owner has no link: another one may have taken its job over.
+func (c *Core) sendLoss(owner runs.Entry, end runs.End) {
+	if c.hasLink(owner) {
+		c.sendEnd(owner, end)
 		return
 	}
 	for l := range c.links.Values() {
@@ -91,50 +92,51 @@
 	}
 }
 
-// gate tells which suspects may start beside what runs.
-type gate struct {
-	// running is the number of runs at the worker, suspects that of suspected ones.
+// isolation tracks which suspects may start beside the runs at the worker.
+type isolation struct {
+	// running is the number of runs at the worker, suspects the number of suspected ones among
+	// them.
 	running, suspects int
-	// closed is set while a run is there that nothing may run beside.
-	closed bool
+	// exclusive is set while a run is there that must run alone.
+	exclusive bool
 }
 
-func (c *Core) newGate() gate {
-	var g gate
+// newIsolation returns the isolation with the runs at the worker.
+func (c *Core) newIsolation() isolation {
+	var i isolation
 	for r := range c.runs.Values() {
 		if r.phase != phaseWaiting {
-			g.pass(r.start.Suspicion)
+			i.add(r.start.Suspicion)
 		}
 	}
-	return g
+	return i
 }
 
-// pass counts a run that starts, or is there.
-func (g *gate) pass(s runs.Suspicion) {
-	g.running++
+// add counts a run that is at the worker or starts there.
+func (i *isolation) add(s runs.Suspicion) {
+	i.running++
 	if s != runs.Trusted {
-		g.suspects++
+		i.suspects++
 	}
-	g.closed = g.closed || s == runs.Alone
+	i.exclusive = i.exclusive || s == runs.Alone
 }
 
-// admits reports whether a run may start.
-func (g *gate) admits(s runs.Suspicion) bool {
+// admits reports whether a run with the given suspicion may start.
+func (i *isolation) admits(s runs.Suspicion) bool {
 	switch {
-	case g.closed:
+	case i.exclusive:
 		return false
 	case s == runs.Alone:
-		return g.running == 0
+		return i.running == 0
 	case s == runs.Apart:
-		return g.suspects == 0
+		return i.suspects == 0
 	}
 	return true
 }
 
-// roomBeside returns the room that is left beside what runs, which is none beside a run
-// that has to be alone.
-func (c *Core) roomBeside(left room.Room) room.Room {
-	if g := c.newGate(); g.closed {
+// isolatedCapacity returns the given free capacity, or none while a run must be alone.
+func (c *Core) isolatedCapacity(left room.Room) room.Room {
+	if i := c.newIsolation(); i.exclusive {
 		return room.Room{}
 	}
 	return left
--- a/core/runner/defaults.go
+++ b/core/runner/defaults.go
@@ -2,19 +2,18 @@
 
 import "time"
 
-// Standard returns the settings with the times that no file names, the same for
-// each deployment.
+// Standard returns the settings that are equal in all deployments.
 func Standard() Settings {
 	return Settings{
-		// It bounds the age of what is known of the progress of runs.
+		// Bounds the age of the known progress of runs.
 		LookWait: 60 * time.Millisecond,
-		// What an entry needs to find a new agent process.
+		// The time that an entry needs to find a new agent process.
 		AdoptWithin: 250 * time.Millisecond,
 		Beat:        100 * time.Millisecond, IdleBeat: 500 * time.Millisecond,
-		// Some four rounds of a full worker.
+		// About four rounds of starts of a full worker.
 		QueueLimit: 64,
 		LateFactor: 1.5,
-		// Twice the time in which an entry in reach of the store confirms its view.
+		// Twice the interval at which an entry that reaches the store confirms its view.
 		DrainsWithin: 3 * time.Second,
 	}
 }
--- a/core/runner/drains.go
+++ b/core/runner/drains.go
@@ -6,58 +6,59 @@
 	"peridotpick.example/wire/runs"
 )
 
-// The agent is the one that keeps work away from the workers of a drained data centre:
-// it alone gives its worker orders, so no start gets through whatever an entry believes.
-// It hears of drains from its entries, and asks the store itself once none of them can
-// vouch for what it knows: all of them may be cut off from the store.
-
-// LearnDrains takes a view of the drained data centres. What waits here is refused at
-// once, so that its entry places it elsewhere while it may still be in time; what runs
-// ends by itself.
+// The agent keeps new work away from the worker of a drained data centre. It alone sends orders
+// to its worker, so no run starts even if an entry has an outdated view. Its entries send it
+// their views of the drained data centres. If none of them has confirmed the view lately, all may
+// be cut off from the store, and the agent asks the store itself.
+
+// LearnDrains updates the view of drained data centres. If the worker's data centre becomes
+// drained, waiting runs are refused at once, so that their entries can place them elsewhere in
+// time; runs at the worker go on.
 func (c *Core) LearnDrains(now time.Time, v runs.Drains) {
 	c.now = now
-	was := c.drained()
-	if !c.drains.Learn(now, v) || c.drained() == was {
+	wasDrained := c.isDrained()
+	if !c.drains.Learn(now, v) || c.isDrained() == wasDrained {
 		return
 	}
-	c.emptied = false
+	c.emptyReported = false
 	c.loadChanged = true
 	event := "data centre in use again"
-	if c.drained() {
+	if c.isDrained() {
 		event = "data centre drained"
 		c.refuseWaiting(runs.Drained)
 	}
 	c.out.Notes = append(c.out.Notes, Note{Event: event, Version: v.Version, Age: v.Age})
 }
 
-// takeDrains takes a view from a message. The message's reading of this agent's clock
-// bounds how long it was held up on the way, in which the view has grown older.
-func (c *Core) takeDrains(v runs.Drains, reading int64) {
+// receiveDrains updates the view from a message that carries the given reading of this agent's
+// clock, in Unix ns. The time since that reading is added to the age of the view, since the
+// message may have been delayed.
+func (c *Core) receiveDrains(v runs.Drains, reading int64) {
 	if reading > 0 {
 		v.Age += max(c.now.Sub(time.Unix(0, reading)), 0)
 	}
 	c.LearnDrains(c.now, v)
 }
 
-// drained reports whether the worker's data centre gets no new work.
-func (c *Core) drained() bool { return c.drains.Has(c.worker.info.DataCentre) }
+// isDrained reports whether the worker's data centre is drained, so that nothing new starts.
+func (c *Core) isDrained() bool { return c.drains.Has(c.worker.info.DataCentre) }
 
-// noteEmptied tells the operator that nothing runs here any more.
-func (c *Core) noteEmptied() {
-	if c.emptied || !c.drained() || c.runs.Len() > 0 {
+// recordEmptied records, once a drain, that the worker of a drained data centre has no runs left.
+func (c *Core) recordEmptied() {
+	if c.emptyReported || !c.isDrained() || c.runs.Len() > 0 {
 		return
 	}
-	c.emptied = true
+	c.emptyReported = true
 	c.out.Notes = append(c.out.Notes, Note{Event: "worker empty in drained data centre", Version: c.drains.View(c.now).Version})
 }
 
-// DrainedDataCentres returns the data centres that are drained as far as is known.
+// DrainedDataCentres returns the drained data centres of the present view.
 func (c *Core) DrainedDataCentres() []string { return c.drains.DataCentres() }
 
-// DrainsUnconfirmed reports whether nobody has vouched lately for what is known of
-// drained data centres. A new agent hears it with the first word of its first entry.
+// DrainsUnconfirmed reports whether the view of drained data centres was not confirmed within
+// DrainsWithin. A new agent gets that time to receive a view from its first entry.
 func (c *Core) DrainsUnconfirmed(now time.Time) bool {
 	c.now = now
-	within := c.settings.DrainsWithin
-	return c.drains.Age(now) > within && now.Sub(c.startedAt) > within
+	maxAge := c.settings.DrainsWithin
+	return c.drains.Age(now) > maxAge && now.Sub(c.startedAt) > maxAge
 }
--- a/core/runner/durable_test.go
+++ b/core/runner/durable_test.go
@@ -9,110 +9,110 @@
 )
 
 // sendDurable delivers a start of a durable job's task.
-func (r *rig) sendDurable(now time.Time, task string) Output {
-	r.Receive(now, 1, &runs.ToAgent{Clock: now.UnixNano(), Starts: []runs.Start{{
+func (h *harness) sendDurable(now time.Time, task string) Output {
+	h.Receive(now, 1, &runs.ToAgent{Clock: now.UnixNano(), Starts: []runs.Start{{
 		Key: key(task), Need: small, Estimate: 100 * time.Millisecond, Slack: time.Second, Patience: time.Second, Durable: true,
 	}}})
-	return r.Flush(now)
+	return h.Flush(now)
 }
 
-// endDurable has a durable run start and end.
-func (r *rig) endDurable(task string, how runs.How) {
-	out := r.sendDurable(start, task)
-	r.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 5001})
-	r.lookAt(after(10), Listing{Ended: []Ended{{Number: 1, Key: key(task), How: how}}})
+// endDurable has a run of a durable job start and end.
+func (h *harness) endDurable(task string, how runs.How) {
+	out := h.sendDurable(start, task)
+	h.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 5001})
+	h.pollAt(after(10), Listing{Ended: []Ended{{Number: 1, Key: key(task), How: how}}})
 }
 
-func TestEndIsKeptUntilItIsStored(t *testing.T) {
-	r := newRig(t)
-	r.endDurable("j.0.0.0", runs.Done)
-	end := ends(r.Flush(after(10)))[0]
-	r.is.True(end.Held)
-	look, _ := r.NextLook(after(20))
-	r.is.Equal(look.LastSeen, int64(0)) // the worker must go on listing it
-	r.Receive(after(30), 1, &runs.ToAgent{Noted: []runs.Key{key("j.0.0.0")}})
-	look, ok := r.NextLook(after(40))
-	r.is.True(ok)
-	r.is.Equal(look.LastSeen, int64(1))
+func TestEndIsHeldUntilItIsStored(t *testing.T) {
+	h := newHarness(t)
+	h.endDurable("j.0.0.0", runs.Done)
+	end := ends(h.Flush(after(10)))[0]
+	h.is.True(end.Held)
+	poll, _ := h.NextLook(after(20))
+	h.is.Equal(poll.LastSeen, int64(0)) // the worker must go on listing it
+	h.Receive(after(30), 1, &runs.ToAgent{Noted: []runs.Key{key("j.0.0.0")}})
+	poll, ok := h.NextLook(after(40))
+	h.is.True(ok)
+	h.is.Equal(poll.LastSeen, int64(1))
 }
 
-func TestKeptEndIsToldAgainOnANewLink(t *testing.T) {
-	r := newRig(t)
-	r.endDurable("j.0.0.0", runs.Done)
-	r.Flush(after(10))
-	r.LinkDown(after(20), 1)
-	r.LinkUp(after(30), 2, entry)
-	r.is.Equal(len(ends(r.Flush(after(30)))), 1)
+func TestHeldEndIsSentAgainOnANewLink(t *testing.T) {
+	h := newHarness(t)
+	h.endDurable("j.0.0.0", runs.Done)
+	h.Flush(after(10))
+	h.LinkDown(after(20), 1)
+	h.LinkUp(after(30), 2, entry)
+	h.is.Equal(len(ends(h.Flush(after(30)))), 1)
 }
 
 func TestEntriesAreAskedAboutAnEndThatIsNotStored(t *testing.T) {
-	r := newRig(t)
-	r.endDurable("j.0.0.0", runs.Done)
-	r.Flush(after(10))
-	r.beat(after(300))
-	r.Tick(after(600))
-	out := r.Flush(after(600))
-	r.is.Equal(len(out.Sends[0].Msg.Unowned), 1)
+	h := newHarness(t)
+	h.endDurable("j.0.0.0", runs.Done)
+	h.Flush(after(10))
+	h.heartbeat(after(300))
+	h.Tick(after(600))
+	out := h.Flush(after(600))
+	h.is.Equal(len(out.Sends[0].Msg.Unowned), 1)
 }
 
-// TestOutageOfTheStoreDoesNotFillTheWorkersList: ends that nobody can settle are
-// given up before the worker hides later ones.
-func TestOutageOfTheStoreDoesNotFillTheWorkersList(t *testing.T) {
-	r := newRig(t)
+// TestStoreOutageDoesNotFillTheWorkersList: held ends are given up before the worker's list is so
+// long that it hides later ones.
+func TestStoreOutageDoesNotFillTheWorkersList(t *testing.T) {
+	h := newHarness(t)
 	var listing Listing
-	for n := range heldLimit {
+	for n := range maxHeldEnds {
 		listing.Ended = append(listing.Ended, Ended{Number: int64(n + 1), Key: key(fmt.Sprintf("j%d.0.0.0", n)), How: runs.Done})
 	}
-	r.endDurable("j.0.0.0", runs.Done)
-	r.sendDurable(after(15), "k.0.0.0") // the worker is looked at while something runs
-	r.lookAt(after(20), listing)
+	h.endDurable("j.0.0.0", runs.Done)
+	h.sendDurable(after(15), "k.0.0.0") // the worker is polled while it has runs
+	h.pollAt(after(20), listing)
 	for ms := 40; ms < 2000; ms += 20 {
-		r.beat(after(ms))
-		r.Tick(after(ms))
-		if look, ok := r.NextLook(after(ms)); ok {
-			r.Looked(after(ms), look, Answer{Verdict: Accepted, Clock: 5000 + int64(ms)}, Listing{})
+		h.heartbeat(after(ms))
+		h.Tick(after(ms))
+		if poll, ok := h.NextLook(after(ms)); ok {
+			h.Looked(after(ms), poll, Answer{Verdict: Accepted, Clock: 5000 + int64(ms)}, Listing{})
 		}
 	}
-	r.is.Equal(r.held.Len(), 0)
-	r.is.Equal(r.outOfUse(), false)
+	h.is.Equal(h.held.Len(), 0)
+	h.is.Equal(h.isUnavailable(), false)
 }
 
 func TestRunMissingInACutListingMayHaveEnded(t *testing.T) {
-	r := newRig(t)
-	out := r.send(start, "t1")
-	r.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 5001})
-	r.lookAt(after(50), Listing{Cut: true})
-	r.is.Equal(len(ends(r.Flush(after(50)))), 0)
-	r.lookAt(after(60), Listing{})
-	r.is.Equal(ends(r.Flush(after(60)))[0].How, runs.Gone)
+	h := newHarness(t)
+	out := h.send(start, "t1")
+	h.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 5001})
+	h.pollAt(after(50), Listing{Cut: true})
+	h.is.Equal(len(ends(h.Flush(after(50)))), 0)
+	h.pollAt(after(60), Listing{})
+	h.is.Equal(ends(h.Flush(after(60)))[0].How, runs.Gone)
 }
 
-func TestVoidEndIsForgottenOnceTheLeaseHasEnded(t *testing.T) {
-	r := newRig(t)
-	r.endDurable("j.0.0.0", runs.Done)
-	r.Flush(after(10))
-	r.Receive(after(20), 1, &runs.ToAgent{Clock: after(20).UnixNano(), Void: []runs.Key{key("j.0.0.0")}})
-	r.is.Equal(r.Flush(after(20)).Sends[0].Msg.Worker.ID, "") // nothing new may go there
+func TestVoidEndIsForgottenOnceTheLeaseHasExpired(t *testing.T) {
+	h := newHarness(t)
+	h.endDurable("j.0.0.0", runs.Done)
+	h.Flush(after(10))
+	h.Receive(after(20), 1, &runs.ToAgent{Clock: after(20).UnixNano(), Void: []runs.Key{key("j.0.0.0")}})
+	h.is.Equal(h.Flush(after(20)).Sends[0].Msg.Worker.ID, "") // the worker gets no new runs
 	ended := 0
 	for ms := 40; ms < 2000; ms += 20 {
-		r.beat(after(ms))
-		r.Tick(after(ms))
-		look, ok := r.NextLook(after(ms))
-		if !r.lapsing() {
+		h.heartbeat(after(ms))
+		h.Tick(after(ms))
+		poll, ok := h.NextLook(after(ms))
+		if !h.awaitsLeaseExpiry() {
 			ended = ms
 			break
 		}
 		if ok {
-			r.is.Equal(look.Deadline, int64(0)) // nothing renews the lease
-			r.is.Equal(look.LastSeen, int64(0))
-			r.Looked(after(ms), look, Answer{Verdict: Accepted, Clock: 5000 + int64(ms)}, Listing{
+			h.is.Equal(poll.Deadline, int64(0)) // nothing renews the lease
+			h.is.Equal(poll.LastSeen, int64(0))
+			h.Looked(after(ms), poll, Answer{Verdict: Accepted, Clock: 5000 + int64(ms)}, Listing{
 				Ended: []Ended{{Number: 1, Key: key("j.0.0.0"), How: runs.Done}},
 			})
 		}
-		r.Flush(after(ms))
+		h.Flush(after(ms))
 	}
-	r.is.True(ended > 800) // the lease that the start took
-	look, ok := r.NextLook(after(2100))
-	r.is.True(ok)
-	r.is.Equal(look.LastSeen, int64(1))
+	h.is.True(ended > 800) // the lease that the start requested
+	poll, ok := h.NextLook(after(2100))
+	h.is.True(ok)
+	h.is.Equal(poll.LastSeen, int64(1))
 }
--- a/core/runner/held.go
+++ b/core/runner/held.go
@@ -6,66 +6,66 @@
 	"peridotpick.example/wire/runs"
 )
 
-// heldEnd is an end that the worker goes on listing, since no entry has said yet
-// that it is stored. Were the worker told to forget it before, a job whose entry
-// dies now would run the task again although it is done.
+// heldEnd is an end that the worker must go on listing, since no entry has confirmed yet that it
+// is stored. If the worker forgot it earlier and the entry were lost, the job's next entry would
+// run the task again although it is done.
 type heldEnd struct {
 	end runs.End
-	// owner is the entry that the end was told to; 0 if none is known.
+	// owner is the incarnation of the entry that the end was sent to; 0 if none is known.
 	owner uint64
 	// listedAt is when the worker listed it first.
 	listedAt time.Time
-	// askedAt is when entries were last asked about the end; at first when it was listed.
+	// askedAt is when entries were last asked about it, or when it was sent to its owner.
 	askedAt time.Time
-	// void ends came too late for their entry.
+	// void is set once an entry has declared that the end came too late. See voidEnds.
 	void bool
 }
 
 const (
-	// heldLookEvery is the shortest time between looks while ends are held: the
-	// worker answers such looks at once.
-	heldLookEvery = 5 * time.Millisecond
-	// heldLongEvery is that time once an end is kept for askAgain, as in an outage of
-	// the store: 200 looks a second would take a quarter of an agent's processor.
-	heldLongEvery = 20 * time.Millisecond
-	// askAgain is the time after which all entries are asked about an end: its owner
-	// may be gone, or may have lost the job. One end that is kept holds up all later
-	// ones, and a worker lists only so many.
-	askAgain = 500 * time.Millisecond
+	// heldPollInterval is the shortest interval between polls while ends are held: the worker
+	// answers such polls at once.
+	heldPollInterval = 5 * time.Millisecond
+	// longHeldPollInterval is that interval once an end was held for askInterval, for example in
+	// an outage of the store: 200 polls a second would take a quarter of an agent's processor.
+	longHeldPollInterval = 20 * time.Millisecond
+	// askInterval is the interval at which all entries are asked about a held end: its owner may
+	// be gone, or may have lost the job. A held end keeps the worker from forgetting later ones,
+	// and it lists only a limited number.
+	askInterval = 500 * time.Millisecond
 )
 
-// lookPause returns the shortest time between two looks.
-func (c *Core) lookPause() time.Duration {
+// pollInterval returns the shortest interval between two polls.
+func (c *Core) pollInterval() time.Duration {
 	for h := range c.held.Values() {
-		if c.now.Sub(h.listedAt) > askAgain {
-			return heldLongEvery
+		if c.now.Sub(h.listedAt) > askInterval {
+			return longHeldPollInterval
 		}
-		return heldLookEvery
+		return heldPollInterval
 	}
 	return 0
 }
 
-// notedUpTo returns the number up to which all ends may be forgotten.
-func (c *Core) notedUpTo() int64 {
-	noted := c.worker.lastSeen
+// ackUpTo returns the number up to which the worker may forget its ends.
+func (c *Core) ackUpTo() int64 {
+	upTo := c.worker.lastEndNumber
 	for number := range c.held.All() {
-		noted = min(noted, number-1)
+		upTo = min(upTo, number-1)
 	}
-	return noted
+	return upTo
 }
 
-// hold keeps an end until an entry has stored it.
-func (c *Core) hold(number int64, owner uint64, end runs.End) {
+// holdEnd holds an end until an entry has stored it. owner is 0 if it is not sent to any.
+func (c *Core) holdEnd(number int64, owner uint64, end runs.End) {
 	end.Held = true
 	h := &heldEnd{end: end, owner: owner, listedAt: c.now}
 	if owner != 0 {
-		h.askedAt = c.now // it is told to its owner
+		h.askedAt = c.now // it is sent to its owner now
 	}
 	c.held.Put(number, h)
 }
 
-// noted releases the ends of runs that an entry has stored, or need not store.
-func (c *Core) noted(keys []runs.Key) {
+// releaseEnds releases held ends that an entry has stored or need not store.
+func (c *Core) releaseEnds(keys []runs.Key) {
 	for _, key := range keys {
 		for number, h := range c.held.All() {
 			if h.end.Key == key {
@@ -75,10 +75,10 @@
 	}
 }
 
-// void marks ends that came too late. The entry has started their tasks again,
-// counting on the end of the worker's lease; so that lease must now end, before
-// the worker may be told to forget them.
-func (c *Core) void(keys []runs.Key) {
+// voidEnds marks held ends that came too late. Their entry relied on the expiry of the worker's
+// lease and has started their tasks again, so that lease must expire before the worker may forget
+// the ends.
+func (c *Core) voidEnds(keys []runs.Key) {
 	for _, key := range keys {
 		for h := range c.held.Values() {
 			if h.end.Key == key {
@@ -88,23 +88,25 @@
 	}
 }
 
+// voidEnd marks one held end as void. See voidEnds.
 func (c *Core) voidEnd(h *heldEnd) {
 	if h.void {
 		return
 	}
 	h.void = true
-	c.noteEnd("lease left to end", h)
+	c.recordHeldEnd("lease left to end", h)
 	c.refuseWaiting(runs.NoWorker)
-	c.workerChanged()
+	c.sendWorkerToAll()
 }
 
-// heldLimit bounds the ends that are kept. A worker lists 500 and hides those after
-// them, so that its room would seem taken for as long as an outage of the store lasts.
-// Instead its lease is left to end once, which takes a second, and all are forgotten.
-const heldLimit = 400
+// maxHeldEnds is the greatest number of held ends. A worker lists 500 ends and hides later ones,
+// so that it would seem fully occupied for as long as an outage of the store lasts. At this limit
+// its lease is left to expire once, which takes a second, and all held ends are forgotten.
+const maxHeldEnds = 400
 
-func (c *Core) boundHeld() {
-	if c.held.Len() < heldLimit {
+// limitHeldEnds voids all held ends once there are maxHeldEnds.
+func (c *Core) limitHeldEnds() {
+	if c.held.Len() < maxHeldEnds {
 		return
 	}
 	for h := range c.held.Values() {
@@ -112,8 +114,8 @@
 	}
 }
 
-// lapsing reports whether the worker's lease is left to end.
-func (c *Core) lapsing() bool {
+// awaitsLeaseExpiry reports whether the worker's lease is left to expire because of void ends.
+func (c *Core) awaitsLeaseExpiry() bool {
 	for h := range c.held.Values() {
 		if h.void {
 			return true
@@ -122,30 +124,33 @@
 	return false
 }
 
-// forgetVoid forgets void ends once the worker's lease has ended.
-func (c *Core) forgetVoid() {
-	if !c.lapsing() || c.worker.earliest(c.now) <= c.worker.promisedUntil+stopGrace.Milliseconds() {
+// deleteVoidEnds deletes void ends once the worker's lease has expired.
+func (c *Core) deleteVoidEnds() {
+	if !c.awaitsLeaseExpiry() || c.worker.clockLowerBound(c.now) <= c.worker.latestDeadline+stopGrace.Milliseconds() {
 		return
 	}
 	for number, h := range c.held.All() {
 		if h.void {
-			c.noteEnd("lease has ended", h)
+			c.recordHeldEnd("lease has ended", h)
 			c.held.Delete(number)
 		}
 	}
-	c.workerChanged()
+	c.sendWorkerToAll()
 }
 
-func (c *Core) noteEnd(event string, h *heldEnd) {
+// recordHeldEnd records a decision about a held end for the log.
+func (c *Core) recordHeldEnd(event string, h *heldEnd) {
 	c.out.Notes = append(c.out.Notes, Note{Event: event, Key: h.end.Key, Reason: h.end.Reason, Age: c.now.Sub(h.listedAt)})
 }
 
-// outOfUse reports whether the worker may be given nothing at present.
-func (c *Core) outOfUse() bool { return c.silent() || c.lapsing() || c.worker.unannounced }
+// isUnavailable reports whether the worker may be given nothing at present.
+func (c *Core) isUnavailable() bool {
+	return c.isUnreachable() || c.awaitsLeaseExpiry() || c.worker.unannounced
+}
 
-// tellHeld repeats the held ends of an entry on a new link: their first message
-// may have been lost with the former one.
-func (c *Core) tellHeld(l *link) {
+// resendHeldEnds sends the held ends of an entry on its new link: their first message may have
+// been lost with the previous one.
+func (c *Core) resendHeldEnds(l *link) {
 	for h := range c.held.Values() {
 		if h.owner == l.entry.Incarnation {
 			l.out.Ends = append(l.out.Ends, h.end)
@@ -154,18 +159,18 @@
 	}
 }
 
-// askAboutHeld asks all entries about ends that were not stored for a while. The
-// owner of the job answers, or any entry if the job is not durable or has ended.
-func (c *Core) askAboutHeld() {
+// askAboutHeldEnds asks all entries about ends that were not stored within askInterval. The entry
+// that has the job answers, or any entry if the job is not durable or is over.
+func (c *Core) askAboutHeldEnds() {
 	if c.links.Len() == 0 {
 		return
 	}
 	for h := range c.held.Values() {
-		if h.void || c.now.Sub(h.askedAt) < askAgain {
+		if h.void || c.now.Sub(h.askedAt) < askInterval {
 			continue
 		}
 		h.askedAt = c.now
-		c.noteEnd("end not stored", h)
+		c.recordHeldEnd("end not stored", h)
 		for l := range c.links.Values() {
 			l.out.Unowned = append(l.out.Unowned, h.end)
 			l.dirty = true
--- a/core/runner/lease.go
+++ b/core/runner/lease.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Entries and callers count on the end of a run that nobody may want any more: an entry
-// whose link broke starts the task elsewhere once its own lease and the worker's have
-// passed, and a caller whose connection broke sends its job again after the same time. Stops may
-// get no answer for longer than that. The worker's lease must therefore end with the one
-// that was taken before such a run was to be stopped, even if other runs end with it.
+// Entries and callers rely on the end of a run that may no longer be wanted: an entry whose link
+// broke starts the task elsewhere once its own lease and the worker's have expired, and a caller
+// whose connection broke sends its job again after the same time. Stops may stay unanswered for
+// longer than that. The worker must therefore not be granted a lease beyond the end deadline of
+// such a run, even if its expiry ends other runs too.
 
-// shortestLease is the shortest lease with which a run is started: one that ends before
-// the stop of another run has had time to arrive would end this one too.
-const shortestLease = 100 * time.Millisecond
+// minStartLease is the shortest lease under which a run is started. Under a shorter one the new
+// run would end with the lease before the stop of the run that limits the lease can arrive.
+const minStartLease = 100 * time.Millisecond
 
-// leaseToTake returns the lease that may be taken of the worker now; 0 if none may be.
-// None is taken while there may be runs that no entry of this process's knowledge owns:
-// their entries count on the end of the lease that the former process took.
-func (c *Core) leaseToTake() time.Duration {
-	if !c.worker.synced || c.outOfUse() {
+// leaseToRequest returns the lease to request from the worker now; 0 if none may be requested.
+// While there are orphans none is requested: their owners rely on the end of the lease that the
+// previous agent process requested.
+func (c *Core) leaseToRequest() time.Duration {
+	if !c.worker.synced || c.isUnavailable() {
 		return 0
 	}
 	lease := c.settings.WorkerLease
@@ -24,24 +24,24 @@
 		if r.orphan {
 			return 0
 		}
-		if !r.overBy.IsZero() {
-			lease = min(lease, r.overBy.Sub(c.now))
+		if !r.endDeadline.IsZero() {
+			lease = min(lease, r.endDeadline.Sub(c.now))
 		}
 	}
 	return max(lease, 0)
 }
 
-// mustEnd notes since when a run may not go on.
-func (c *Core) mustEnd(r *run, since time.Time) {
-	if r.overBy.IsZero() {
-		r.overBy = since.Add(c.settings.WorkerLease)
+// setEndDeadline limits the worker's lease for a run that must not go on: it ends at the latest
+// one worker lease after the given time, also if its stops stay unanswered.
+func (c *Core) setEndDeadline(r *run, since time.Time) {
+	if r.endDeadline.IsZero() {
+		r.endDeadline = since.Add(c.settings.WorkerLease)
 	}
 }
 
-// lapsed returns when the lease of a run's owner ended, which is now if that is not
-// known any more.
-func (c *Core) lapsed(r *run) time.Time {
-	until, known := c.leases[r.owner.Incarnation]
+// ownerLeaseEnd returns when the lease of a run's owner expired; now if that is not known.
+func (c *Core) ownerLeaseEnd(r *run) time.Time {
+	until, known := c.ownerLeases[r.owner.Incarnation]
 	if !known || until.IsZero() || until.After(c.now) {
 		return c.now
 	}
--- a/core/runner/lease_test.go
+++ b/core/runner/lease_test.go
@@ -7,41 +7,43 @@
 	"peridotpick.example/wire/runs"
 )
 
-// lapse returns when a lease ends by the worker's clock, which begins at 5000 ms and runs
-// as slow as allowed.
-func lapse(deadline int64) time.Time {
-	return start.Add(time.Duration(float64(deadline-5000)/(1-clockDrift)) * time.Millisecond)
+// leaseExpiry returns when a lease expires on a worker's clock that shows 5000 ms at the start
+// and runs as slow as allowed.
+func leaseExpiry(deadline int64) time.Time {
+	return start.Add(time.Duration(float64(deadline-5000)/(1-maxClockDrift)) * time.Millisecond)
 }
 
-// mustEndBy is when others count on the end of a run that was started at the beginning
-// and whose entry was not heard again.
-func (r *rig) mustEndBy() time.Time {
-	lease := time.Duration(float64(r.settings.WorkerLease) / (1 - clockDrift))
-	return start.Add(r.settings.OwnerLease + lease)
+// mustEndBy returns when others rely on the end of a run that was started at the beginning and
+// whose entry has sent nothing since.
+func (h *harness) mustEndBy() time.Time {
+	lease := time.Duration(float64(h.settings.WorkerLease) / (1 - maxClockDrift))
+	return start.Add(h.settings.OwnerLease + lease)
 }
 
-// TestWorkersLeaseEndsWithARunWhoseStopsGetNoAnswer: the run's entry is lost, and starts
-// the task elsewhere once both leases have passed. Looks at the worker get through.
+// TestWorkersLeaseEndsWithARunWhoseStopsGetNoAnswer: the run's entry is lost, so that the task
+// starts elsewhere once both leases have expired. Polls reach the worker, but the lease that they
+// request must not extend the run.
 func TestWorkersLeaseEndsWithARunWhoseStopsGetNoAnswer(t *testing.T) {
-	r := newRig(t)
-	r.send(start, "t1")
+	h := newHarness(t)
+	h.send(start, "t1")
 	for ms := 20; ms <= 1180; ms += 20 {
 		now := after(ms)
-		r.Tick(now)
-		r.Flush(now)
-		look, ok := r.NextLook(now)
-		r.is.True(ok)
-		r.is.True(!lapse(look.Deadline).After(r.mustEndBy()))
-		slow := 5000 + int64(float64(ms)*(1-clockDrift))
-		r.Looked(now, look, Answer{Verdict: Accepted, Clock: slow}, Listing{Running: []Running{{Key: key("t1")}}})
+		h.Tick(now)
+		h.Flush(now)
+		poll, ok := h.NextLook(now)
+		h.is.True(ok)
+		h.is.True(!leaseExpiry(poll.Deadline).After(h.mustEndBy()))
+		slow := 5000 + int64(float64(ms)*(1-maxClockDrift))
+		h.Looked(now, poll, Answer{Verdict: Accepted, Clock: slow}, Listing{Running: []Running{{Key: key("t1")}}})
 	}
 }
 
-// TestStartsUnderAnEndingLeaseDoNotExtendIt: another entry goes on sending starts.
-func TestStartsUnderAnEndingLeaseDoNotExtendIt(t *testing.T) {
-	r := newRig(t)
-	r.send(start, "t1")
-	r.LinkUp(start, 2, runs.Entry{Address: "e:2", Incarnation: 8})
+// TestStartsDoNotExtendALimitedLease: while a run must end with the lease, another entry goes on
+// sending starts.
+func TestStartsDoNotExtendALimitedLease(t *testing.T) {
+	h := newHarness(t)
+	h.send(start, "t1")
+	h.LinkUp(start, 2, runs.Entry{Address: "e:2", Incarnation: 8})
 	started := 0
 	for ms := 20; ms <= 1180; ms += 20 {
 		now := after(ms)
@@ -49,43 +51,43 @@
 		if ms%100 == 0 {
 			msg.Starts = []runs.Start{{Key: key(now.String()), Need: small, Patience: time.Second}}
 		}
-		r.Receive(now, 2, msg)
-		r.Tick(now)
-		for _, o := range r.Flush(now).Orders {
+		h.Receive(now, 2, msg)
+		h.Tick(now)
+		for _, o := range h.Flush(now).Orders {
 			if o.Kind != OrderStart {
 				continue
 			}
 			started++
-			r.is.True(!lapse(o.Deadline).After(r.mustEndBy()))
-			r.finish(r.runs.Get(o.Key), runs.End{Key: o.Key, How: runs.Done}) // the room is free for the next one
+			h.is.True(!leaseExpiry(o.Deadline).After(h.mustEndBy()))
+			h.finish(h.runs.Get(o.Key), runs.End{Key: o.Key, How: runs.Done}) // makes room for the next one
 		}
 	}
-	r.is.True(started > 5)
+	h.is.True(started > 5)
 }
 
-// TestStopOfAMovingRunDoesNotEndTheLease: its entry waits for its end, however long that takes.
-func TestStopOfAMovingRunDoesNotEndTheLease(t *testing.T) {
+// TestStopOfAMovingRunDoesNotLimitTheLease: its entry waits for the end, however long that takes.
+func TestStopOfAMovingRunDoesNotLimitTheLease(t *testing.T) {
 	for _, moving := range []bool{true, false} {
-		r := newRig(t)
-		r.send(start, "t1")
-		r.lookAt(after(10), Listing{Running: []Running{{Key: key("t1")}}})
+		h := newHarness(t)
+		h.send(start, "t1")
+		h.pollAt(after(10), Listing{Running: []Running{{Key: key("t1")}}})
 		msg := &runs.ToAgent{Clock: after(20).UnixNano(), Stops: []runs.Key{key("t1")}}
 		if moving {
 			msg.Stops, msg.Moves = nil, msg.Stops
 		}
-		r.Receive(after(20), 1, msg)
-		r.beat(after(500))
-		r.is.Equal(r.leaseToTake() == r.settings.WorkerLease, moving)
+		h.Receive(after(20), 1, msg)
+		h.heartbeat(after(500))
+		h.is.Equal(h.leaseToRequest() == h.settings.WorkerLease, moving)
 	}
 }
 
-// TestStartOfAnotherEntrysRunIsRefused: entries number the runs of a job each from 1. A
-// start that is taken for a repeated one would never be answered.
-func TestStartOfAnotherEntrysRunIsRefused(t *testing.T) {
-	r := newRig(t)
-	r.send(start, "t1")
-	r.LinkUp(start, 2, runs.Entry{Address: "e:2", Incarnation: 8})
-	r.Flush(start)
-	r.Receive(after(10), 2, &runs.ToAgent{Clock: after(10).UnixNano(), Starts: []runs.Start{{Key: key("t1"), Need: small, Patience: time.Second}}})
-	r.is.Equal(ends(r.Flush(after(10))), []runs.End{{Key: key("t1"), How: runs.Refused, Reason: runs.OldRun}})
+// TestStartWithTheKeyOfAnotherEntrysRunIsRefused: each entry numbers the runs of a job from 1. If
+// the start were taken for a repeated one, it would never be answered.
+func TestStartWithTheKeyOfAnotherEntrysRunIsRefused(t *testing.T) {
+	h := newHarness(t)
+	h.send(start, "t1")
+	h.LinkUp(start, 2, runs.Entry{Address: "e:2", Incarnation: 8})
+	h.Flush(start)
+	h.Receive(after(10), 2, &runs.ToAgent{Clock: after(10).UnixNano(), Starts: []runs.Start{{Key: key("t1"), Need: small, Patience: time.Second}}})
+	h.is.Equal(ends(h.Flush(after(10))), []runs.End{{Key: key("t1"), How: runs.Refused, Reason: runs.OldRun}})
 }
--- a/core/runner/load.go
+++ b/core/runner/load.go
@@ -9,125 +9,128 @@
 	"peridotpick.example/wire/runs"
 )
 
-// pace measures how fast the worker is, from the runs that ended and from the
-// progress of those that run.
-type pace struct {
-	// ran and estimated are sums over the ended runs, in seconds, that decay with
-	// time, as of the time at.
+// speedStats measures how fast the worker is, from the times of ended runs and the progress of
+// running ones.
+type speedStats struct {
+	// ran and estimated are sums of the measured and the estimated times of ended runs, in
+	// seconds. They decay with time and are valid as of updatedAt.
 	ran, estimated float64
-	at             time.Time
+	updatedAt      time.Time
 	failStreak     int
 }
 
 const (
-	// paceHalfLife is the time after which a measurement counts half. A worker that
-	// was slow and gets little work since is trusted again after a few of them: a
-	// decay by number of runs kept such workers out for 13 s after their recovery.
-	paceHalfLife = 1500 * time.Millisecond
-	// pacePrior is the time, in seconds, that counts as run and estimated alike, so
-	// that a single odd run does not judge a worker.
-	pacePrior = 0.5
+	// speedHalfLife is the time after which a measurement counts half. A worker that was slow and
+	// gets little work since is trusted again after a few half-lives; with a decay by number of runs
+	// such workers got no work for 13 s after their recovery.
+	speedHalfLife = 1500 * time.Millisecond
+	// speedPriorSeconds is the time that is added to the measured and to the estimated time
+	// alike, so that a single unusual run does not decide.
+	speedPriorSeconds = 0.5
 )
 
-func (p *pace) ended(now time.Time, r *run, end runs.End) {
+// observeEnd takes the end of a run.
+func (s *speedStats) observeEnd(now time.Time, r *run, end runs.End) {
 	switch end.How {
 	case runs.Done:
-		p.failStreak = 0
+		s.failStreak = 0
 	case runs.Failed:
-		p.failStreak++
+		s.failStreak++
 	}
 	if end.How == runs.Done && r.start.Estimate > 0 {
-		p.observe(now, end.Ran, r.start.Estimate)
+		s.observe(now, end.Ran, r.start.Estimate)
 	}
 }
 
-// observe takes one run.
-func (p *pace) observe(now time.Time, ran, estimate time.Duration) {
-	p.decay(now)
-	p.ran += ran.Seconds()
-	p.estimated += estimate.Seconds()
+// observe takes the measured and the estimated time of one run.
+func (s *speedStats) observe(now time.Time, ran, estimate time.Duration) {
+	s.decay(now)
+	s.ran += ran.Seconds()
+	s.estimated += estimate.Seconds()
 }
 
-func (p *pace) decay(now time.Time) {
-	if p.at.IsZero() {
-		p.at = now
+// decay lowers the weight of older measurements.
+func (s *speedStats) decay(now time.Time) {
+	if s.updatedAt.IsZero() {
+		s.updatedAt = now
 	}
-	kept := math.Exp2(-now.Sub(p.at).Seconds() / paceHalfLife.Seconds())
-	p.ran *= kept
-	p.estimated *= kept
-	p.at = now
+	factor := math.Exp2(-now.Sub(s.updatedAt).Seconds() / speedHalfLife.Seconds())
+	s.ran *= factor
+	s.estimated *= factor
+	s.updatedAt = now
 }
 
-// minProgress is the age at which the progress of a run tells something.
-const minProgress = 25 * time.Millisecond
+// minProgressAge is the time since the start of a run from which its progress is meaningful.
+const minProgressAge = 25 * time.Millisecond
 
-// slowness returns the ratio of run times to estimates, in hundredths. Runs that are under way count by their expected time, so
-// that a worker on which everything stands still shows within some 50 ms.
+// slowness returns the ratio of run times to their estimates, in hundredths. Running runs count
+// with their expected run time, so that a worker on which nothing proceeds is recognised within
+// about 50 ms.
 func (c *Core) slowness() int {
-	c.pace.decay(c.now)
-	ran, estimated := c.pace.ran+pacePrior, c.pace.estimated+pacePrior
+	c.speed.decay(c.now)
+	ran, estimated := c.speed.ran+speedPriorSeconds, c.speed.estimated+speedPriorSeconds
 	for r := range c.runs.Values() {
 		if !c.settings.Policy.Has(policy.Progress) {
 			break
 		}
-		if r.phase != phaseRunning || r.start.Estimate <= 0 || r.percentAt.Sub(r.confirmedAt) < minProgress {
+		if r.phase != phaseRunning || r.start.Estimate <= 0 || r.percentAt.Sub(r.confirmedAt) < minProgressAge {
 			continue
 		}
-		ran += c.total(r).Seconds()
+		ran += c.expectedRunTime(r).Seconds()
 		estimated += r.start.Estimate.Seconds()
 	}
 	return int(100 * ran / estimated)
 }
 
-// total returns the expected run time of a run.
-func (c *Core) total(r *run) time.Duration {
+// expectedRunTime returns the run time expected from the progress of a run.
+func (c *Core) expectedRunTime(r *run) time.Duration {
 	atReading := r.percentAt.Sub(r.confirmedAt)
-	if atReading < minProgress {
+	if atReading < minProgressAge {
 		return r.start.Estimate
 	}
-	return atReading * 100 / time.Duration(max(r.percent, 1))
+	return atReading * 100 / time.Duration(max(r.percentDone, 1))
 }
 
-// stoppedSlow remembers the pace of a run that is stopped because it is slow:
-// without it a worker on which everything stands still would look idle and sound.
-func (c *Core) stoppedSlow(r *run) {
+// observeStopped takes the expected run time of a run that is stopped because it is slow. Without
+// it a worker on which nothing proceeds would look idle and healthy.
+func (c *Core) observeStopped(r *run) {
 	if r.start.Estimate <= 0 || r.phase != phaseRunning {
 		return
 	}
-	if total := c.total(r); total > r.start.Estimate {
-		c.pace.observe(c.now, min(total, slowestCounted*r.start.Estimate), r.start.Estimate)
+	if total := c.expectedRunTime(r); total > r.start.Estimate {
+		c.speed.observe(c.now, min(total, maxCountedSlowness*r.start.Estimate), r.start.Estimate)
 	}
 }
 
-// slowestCounted bounds how many times its estimate a stopped run counts.
-const slowestCounted = 20
+// maxCountedSlowness limits the time counted for a stopped run, as a multiple of its estimate.
+const maxCountedSlowness = 20
 
-// remaining returns the expected time to the end of a run; at least 1 ms.
-func (c *Core) remaining(r *run) time.Duration {
+// expectedRemaining returns the expected time to the end of a run, at least 1 ms.
+func (c *Core) expectedRemaining(r *run) time.Duration {
 	if r.phase != phaseRunning {
 		return max(r.start.Estimate, time.Millisecond)
 	}
-	return max(c.total(r)-c.now.Sub(r.confirmedAt), time.Millisecond)
+	return max(c.expectedRunTime(r)-c.now.Sub(r.confirmedAt), time.Millisecond)
 }
 
-// freeingsLimit bounds the expected ends that a load reports.
-const freeingsLimit = 12
+// maxFreeings is the greatest number of expected ends in a load.
+const maxFreeings = 12
 
-// load returns the load for a link. What all links are told alike is worked out once a
+// load returns the load for a link. The part that is equal for all links is computed once a
 // flush.
 func (c *Core) load(l *link) *runs.Load {
-	if c.told == nil {
-		c.told = &runs.Load{
-			Free: c.roomLeft(), Waiting: c.waitingCPU(), Freeings: c.freeings(), Slowness: c.slowness(),
-			FailStreak: c.pace.failStreak, Sharers: c.sharers(),
+	if c.sharedLoad == nil {
+		c.sharedLoad = &runs.Load{
+			Free: c.freeCapacity(), Waiting: c.waitingCPU(), Freeings: c.freeings(), Slowness: c.slowness(),
+			FailStreak: c.speed.failStreak, Sharers: c.activeLinks(),
 		}
 	}
-	load := *c.told
-	load.Seen = l.seen
+	load := *c.sharedLoad
+	load.Seen = l.startsReceived
 	return &load
 }
 
-// waitingCPU returns what waiting runs ask for by their slack.
+// waitingCPU returns the processor capacity that waiting runs need, by band of slack.
 func (c *Core) waitingCPU() []int {
 	if len(c.queue) == 0 {
 		return nil
@@ -144,14 +147,15 @@
 	var list []runs.Freeing
 	for r := range c.runs.Values() {
 		if r.phase != phaseWaiting && !r.orphan {
-			list = append(list, runs.Freeing{After: int(c.remaining(r).Milliseconds()), CPU: r.need.CPU})
+			list = append(list, runs.Freeing{After: int(c.expectedRemaining(r).Milliseconds()), CPU: r.need.CPU})
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].After < list[j].After })
-	return list[:min(len(list), freeingsLimit)]
+	return list[:min(len(list), maxFreeings)]
 }
 
-// progress lists an entry's runs that take much longer than estimated.
+// progress reports an entry's runs that wait or that take much longer than estimated, and new
+// checkpoints of its durable runs.
 func (c *Core) progress(incarnation uint64) []runs.Progress {
 	var list []runs.Progress
 	for r := range c.runs.Values() {
@@ -162,12 +166,12 @@
 			list = append(list, runs.Progress{Key: r.key, Waiting: true})
 			continue
 		}
-		if r.phase == phaseRunning && c.total(r) > time.Duration(float64(r.start.Estimate)*c.settings.LateFactor) {
-			list = append(list, runs.Progress{Key: r.key, Remaining: c.remaining(r)})
+		if r.phase == phaseRunning && c.expectedRunTime(r) > time.Duration(float64(r.start.Estimate)*c.settings.LateFactor) {
+			list = append(list, runs.Progress{Key: r.key, Remaining: c.expectedRemaining(r)})
 		}
-		if r.durable && r.checkpoint != r.told {
+		if r.durable && r.checkpoint != r.reportedCheckpoint {
 			list = append(list, runs.Progress{Key: r.key, Checkpoint: r.checkpoint})
-			r.told = r.checkpoint
+			r.reportedCheckpoint = r.checkpoint
 		}
 	}
 	return list
--- a/core/runner/release.go
+++ b/core/runner/release.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// An agent works with a bounded number of entries, and turns to others as entries come
-// and go. A link that it gives up is released first: its entry is told to send nothing
-// more, starts that were on their way are refused, and runs that are here go on until
-// they have ended. Only then is the link closed: a closed link puts the runs of its
-// entry in doubt until their leases have passed.
+// An agent works with a bounded number of entries and replaces some of them as entries come and
+// go. It gives a link up in two steps. First the link is released: the entry is told to send no
+// more starts, starts that are already under way are refused, and runs that are here go on until
+// they have ended. Then the link is closed. Closing it at once would leave the outcome of the
+// entry's runs unknown until their leases have expired.
 
-// releaseNotice is how long a released link stays open at least: an entry has heard of
-// the release by then, and what it had sent before has come.
-const releaseNotice = time.Second
+// minReleaseDuration is how long a released link stays open at least, so that the entry hears of
+// the release and what it sent before arrives.
+const minReleaseDuration = time.Second
 
-func (l *link) released() bool { return !l.releasedAt.IsZero() }
+func (l *link) isReleased() bool { return !l.releasedAt.IsZero() }
 
-// Release gives a link up.
+// Release begins to give a link up: its entry may send no more starts.
 func (c *Core) Release(now time.Time, id LinkID) {
 	c.now = now
 	l := c.links.Get(id)
-	if l == nil || l.released() {
+	if l == nil || l.isReleased() {
 		return
 	}
 	l.releasedAt = now
-	c.loadChanged = true // others share the worker with fewer
-	c.tellWorker(l)
+	c.loadChanged = true // fewer entries share the worker
+	c.sendWorker(l)
 }
 
-// Retain takes a released link into use again.
+// Retain takes a released link back into use.
 func (c *Core) Retain(now time.Time, id LinkID) {
 	c.now = now
 	l := c.links.Get(id)
-	if l == nil || !l.released() {
+	if l == nil || !l.isReleased() {
 		return
 	}
 	l.releasedAt = time.Time{}
 	c.loadChanged = true
-	c.tellWorker(l)
+	c.sendWorker(l)
 }
 
-// OnDemand notes whether a link is kept only since its entry is short of agents.
+// OnDemand records whether a link exists only because its entry is short of agents.
 func (c *Core) OnDemand(now time.Time, id LinkID, onDemand bool) {
 	c.now = now
 	l := c.links.Get(id)
@@ -46,34 +46,34 @@
 		return
 	}
 	l.onDemand = onDemand
-	c.tellWorker(l)
+	c.sendWorker(l)
 }
 
 // closeReleased closes released links whose entries have no runs here.
 func (c *Core) closeReleased() {
 	for id, l := range c.links.All() {
-		if l.released() && c.now.Sub(l.releasedAt) >= releaseNotice && !c.owns(l.entry.Incarnation) {
+		if l.isReleased() && c.now.Sub(l.releasedAt) >= minReleaseDuration && !c.hasRuns(l.entry.Incarnation) {
 			c.out.Closes = append(c.out.Closes, id)
 		}
 	}
 }
 
-// sharers is the number of entries that this agent works with.
-func (c *Core) sharers() int {
+// activeLinks returns the number of links that are not released.
+func (c *Core) activeLinks() int {
 	n := 0
 	for l := range c.links.Values() {
-		if !l.released() {
+		if !l.isReleased() {
 			n++
 		}
 	}
 	return n
 }
 
-// Unsettled reports whether ends are kept that no entry has answered for in time. The
-// entry that has taken their job over may be one that this agent does not work with.
+// Unsettled reports whether an end was held for longer than askInterval. The entry that has taken
+// its job over may be one that this agent has no link to.
 func (c *Core) Unsettled() bool {
 	for h := range c.held.Values() {
-		if c.now.Sub(h.listedAt) > askAgain {
+		if c.now.Sub(h.listedAt) > askInterval {
 			return true
 		}
 	}
--- a/core/runner/release_test.go
+++ b/core/runner/release_test.go
@@ -6,75 +6,75 @@
 	"peridotpick.example/wire/runs"
 )
 
-// workerTold returns what was last said of the worker on a link.
-func workerTold(out Output, id LinkID) *runs.Worker {
-	var told *runs.Worker
+// lastWorkerSent returns the last description of the worker sent on a link, or nil.
+func lastWorkerSent(out Output, id LinkID) *runs.Worker {
+	var last *runs.Worker
 	for _, s := range out.Sends {
 		if s.Link == id && s.Msg.Worker != nil {
-			told = s.Msg.Worker
+			last = s.Msg.Worker
 		}
 	}
-	return told
+	return last
 }
 
-// TestReleasedLinkIsClosedOnceItsRunsHaveEnded: nothing new starts there, what runs goes
-// on, and its end is still told.
+// TestReleasedLinkIsClosedOnceItsRunsHaveEnded: nothing new starts on the link, runs at the
+// worker go on, and their ends are still sent.
 func TestReleasedLinkIsClosedOnceItsRunsHaveEnded(t *testing.T) {
-	r := newRig(t)
-	out := r.send(start, "t1")
-	r.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 5001})
-	r.Release(after(2), 1)
-	r.is.True(workerTold(r.Flush(after(2)), 1).Released)
-	got := ends(r.send(after(3), "t2")) // was on its way
-	r.is.Equal(got[0].How, runs.Refused)
-	r.is.Equal(got[0].Reason, runs.Draining)
+	h := newHarness(t)
+	out := h.send(start, "t1")
+	h.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 5001})
+	h.Release(after(2), 1)
+	h.is.True(lastWorkerSent(h.Flush(after(2)), 1).Released)
+	got := ends(h.send(after(3), "t2")) // was sent before the release arrived
+	h.is.Equal(got[0].How, runs.Refused)
+	h.is.Equal(got[0].Reason, runs.Draining)
 	for ms := 100; ms <= 1500; ms += 100 {
-		r.beat(after(ms))
-		r.Tick(after(ms))
-		r.is.Equal(len(r.Flush(after(ms)).Closes), 0) // t1 is still here
+		h.heartbeat(after(ms))
+		h.Tick(after(ms))
+		h.is.Equal(len(h.Flush(after(ms)).Closes), 0) // t1 still runs
 	}
-	r.lookAt(after(1510), Listing{Ended: []Ended{{Number: 1, Key: key("t1"), How: runs.Done}}})
-	r.is.Equal(ends(r.Flush(after(1510)))[0].How, runs.Done)
-	r.Tick(after(1520))
-	r.is.Equal(r.Flush(after(1520)).Closes, []LinkID{1})
+	h.pollAt(after(1510), Listing{Ended: []Ended{{Number: 1, Key: key("t1"), How: runs.Done}}})
+	h.is.Equal(ends(h.Flush(after(1510)))[0].How, runs.Done)
+	h.Tick(after(1520))
+	h.is.Equal(h.Flush(after(1520)).Closes, []LinkID{1})
 }
 
-// TestReleasedLinkIsTakenBack: the entry is wanted again before the link was closed.
-func TestReleasedLinkIsTakenBack(t *testing.T) {
-	r := newRig(t)
-	r.Release(after(1), 1)
-	r.Flush(after(1))
-	r.Retain(after(500), 1)
-	r.is.True(!workerTold(r.Flush(after(500)), 1).Released)
-	r.is.Equal(len(r.send(after(501), "t1").Orders), 1)
-	r.Tick(after(5000))
-	r.is.Equal(len(r.Flush(after(5000)).Closes), 0)
+// TestReleasedLinkCanBeRetained: the agent works with the entry again before the link was closed.
+func TestReleasedLinkCanBeRetained(t *testing.T) {
+	h := newHarness(t)
+	h.Release(after(1), 1)
+	h.Flush(after(1))
+	h.Retain(after(500), 1)
+	h.is.True(!lastWorkerSent(h.Flush(after(500)), 1).Released)
+	h.is.Equal(len(h.send(after(501), "t1").Orders), 1)
+	h.Tick(after(5000))
+	h.is.Equal(len(h.Flush(after(5000)).Closes), 0)
 }
 
-// TestSharersAreCounted: entries learn with how many others they share the worker.
-func TestSharersAreCounted(t *testing.T) {
-	r := crowd(t, 5)
-	r.is.Equal(r.load(r.links.Get(1)).Sharers, 5)
-	r.Release(after(1), 2)
-	r.Flush(after(1))
-	r.send(after(200), "t1")
-	r.is.Equal(r.load(r.links.Get(1)).Sharers, 4)
+// TestLoadCountsActiveLinks: the load tells entries how many of them share the worker.
+func TestLoadCountsActiveLinks(t *testing.T) {
+	h := newHarnessWithEntries(t, 5)
+	h.is.Equal(h.load(h.links.Get(1)).Sharers, 5)
+	h.Release(after(1), 2)
+	h.Flush(after(1))
+	h.send(after(200), "t1")
+	h.is.Equal(h.load(h.links.Get(1)).Sharers, 4)
 }
 
-// TestKeptEndsAreUnsettledAfterAWhile: the entry that has taken their job over may be one
-// that this agent does not work with.
-func TestKeptEndsAreUnsettledAfterAWhile(t *testing.T) {
-	r := newRig(t)
-	r.Receive(start, 1, &runs.ToAgent{Clock: start.UnixNano(), Starts: []runs.Start{{
-		Key: key("t1"), Need: small, Estimate: askAgain, Slack: askAgain, Patience: askAgain, Durable: true,
+// TestEndsHeldForLongAreReported: the entry that has taken their job over may be one that this
+// agent has no link to.
+func TestEndsHeldForLongAreReported(t *testing.T) {
+	h := newHarness(t)
+	h.Receive(start, 1, &runs.ToAgent{Clock: start.UnixNano(), Starts: []runs.Start{{
+		Key: key("t1"), Need: small, Estimate: askInterval, Slack: askInterval, Patience: askInterval, Durable: true,
 	}}})
-	order := r.Flush(start).Orders[0]
-	r.Ordered(after(1), order, Answer{Verdict: Accepted, Clock: 5001})
-	r.lookAt(after(10), Listing{Ended: []Ended{{Number: 1, Key: key("t1"), How: runs.Done}}})
-	r.Tick(after(400))
-	r.is.True(!r.Unsettled())
-	r.Tick(after(600))
-	r.is.True(r.Unsettled())
-	r.Receive(after(610), 1, &runs.ToAgent{Clock: after(610).UnixNano(), Noted: []runs.Key{key("t1")}})
-	r.is.True(!r.Unsettled())
+	order := h.Flush(start).Orders[0]
+	h.Ordered(after(1), order, Answer{Verdict: Accepted, Clock: 5001})
+	h.pollAt(after(10), Listing{Ended: []Ended{{Number: 1, Key: key("t1"), How: runs.Done}}})
+	h.Tick(after(400))
+	h.is.True(!h.Unsettled())
+	h.Tick(after(600))
+	h.is.True(h.Unsettled())
+	h.Receive(after(610), 1, &runs.ToAgent{Clock: after(610).UnixNano(), Noted: []runs.Key{key("t1")}})
+	h.is.True(!h.Unsettled())
 }
--- a/core/runner/restart.go
+++ b/core/runner/restart.go
@@ -8,138 +8,141 @@
 	"peridotpick.example/wire/runs"
 )
 
-// A backend server may start again under the ID that it had. An order that names the ID
-// alone then reaches the new incarnation, which has seen no fencing token, and whose
-// clock and numbers of ends begin anew. What follows from it:
-//   - An incarnation is an ID and the time of its start. The worker's lists tell both.
-//   - While the worker may have started again it is asked who it is, without a lease and
-//     without leave to forget ends: both would be in terms of the former incarnation.
-//   - The token for the new incarnation is above that for the former, so that no order for
-//     the former has an effect once the new one was looked at. What ran, or may have been
-//     started, under the former is over only then, unless the new one lists it.
-
-// livesKept bounds the incarnations that are remembered as over: words of them come late
-// for some seconds.
-const livesKept = 64
-
-// lives remembers incarnations that are over, the latest of them.
-type lives struct {
-	known map[runs.Life]bool
-	order []runs.Life
+// A backend server may restart under the same ID. An order that names only the ID then reaches
+// the new incarnation, which has seen no fencing token and whose clock and numbers of ends start
+// anew. Therefore:
+//   - An incarnation is identified by its ID and its start time. Listings of the worker
+//     contain both.
+//   - While the worker may have restarted, polls request no lease and acknowledge no ends:
+//     both would be in terms of the previous incarnation.
+//   - The token for the new incarnation is above that for the previous one, so that no order
+//     for the previous one takes effect once the new one has answered a poll with it. Only
+//     then are the runs of the previous one over, unless the new one lists them.
+
+// maxRetired is the number of retired incarnations that are remembered, since their messages may
+// arrive some seconds late.
+const maxRetired = 64
+
+// retiredIncarnations remembers the latest incarnations that are over.
+type retiredIncarnations struct {
+	members map[runs.Life]bool
+	order   []runs.Life
 }
 
-func (l *lives) add(life runs.Life) {
-	if l.known[life] {
+func (r *retiredIncarnations) add(incarnation runs.Life) {
+	if r.members[incarnation] {
 		return
 	}
-	if l.known == nil {
-		l.known = make(map[runs.Life]bool)
+	if r.members == nil {
+		r.members = make(map[runs.Life]bool)
 	}
-	l.known[life] = true
-	l.order = append(l.order, life)
-	if len(l.order) > livesKept {
-		delete(l.known, l.order[0])
-		l.order = l.order[1:]
+	r.members[incarnation] = true
+	r.order = append(r.order, incarnation)
+	if len(r.order) > maxRetired {
+		delete(r.members, r.order[0])
+		r.order = r.order[1:]
 	}
 }
 
-func (l *lives) has(life runs.Life) bool { return l.known[life] }
+func (r *retiredIncarnations) has(incarnation runs.Life) bool { return r.members[incarnation] }
 
-// hasID reports whether an incarnation under an ID is over.
-func (l *lives) hasID(id string) bool {
-	return slices.ContainsFunc(l.order, func(life runs.Life) bool { return life.ID == id })
+// hasID reports whether a retired incarnation had an ID.
+func (r *retiredIncarnations) hasID(id string) bool {
+	return slices.ContainsFunc(r.order, func(incarnation runs.Life) bool { return incarnation.ID == id })
 }
 
-// mayHaveRestarted reports whether the server may have started again under its ID since it
-// last told who it is.
+// mayHaveRestarted reports whether the server may have restarted under the same ID since it last
+// confirmed its incarnation.
 func (c *Core) mayHaveRestarted() bool {
 	w := &c.worker
-	return w.info.Born != 0 && (w.doubted || w.unanswered > 0 || w.candidate.ID == w.info.ID)
+	return w.info.Born != 0 && (w.restartSuspected || w.unansweredPolls > 0 || w.candidate.ID == w.info.ID)
 }
 
-// clockJump is a step of the worker's clock, in ms, that an answer which lay for a while
-// cannot explain: it is the clock of another incarnation.
-const clockJump = 60_000
+// maxClockJump is the greatest step of the worker's clock, in ms, that a delayed answer can
+// explain. A greater step means that the answer is from another incarnation.
+const maxClockJump = 60_000
 
-// readAnswer takes the reading of the worker's clock in an answer to an order. If it is
-// that of another clock the worker is asked who it is.
-func (c *Core) readAnswer(clock int64) {
+// readAnswerClock takes the reading of the worker's clock in ms from the answer to an order,
+// which does not identify the incarnation. If the reading is from another clock, the worker is
+// polled.
+func (c *Core) readAnswerClock(clock int64) {
 	w := &c.worker
-	if w.info.Born != 0 && w.clock != 0 && clock != 0 && (clock < w.clock-clockJump || clock > w.earliest(c.now)+clockJump) {
-		w.doubted = true
+	if w.info.Born != 0 && w.clock != 0 && clock != 0 && (clock < w.clock-maxClockJump || clock > w.clockLowerBound(c.now)+maxClockJump) {
+		w.restartSuspected = true
 		return
 	}
-	w.read(c.now, clock)
+	w.readClock(c.now, clock)
 }
 
-// restarted handles that the server answers in another incarnation under the same ID.
-// Until that announces itself nothing is known of it but what it lists.
-func (c *Core) restarted(a Answer) {
-	former := c.worker
-	next := former.info
+// handleRestart handles an answer of another incarnation under the same ID. Until that one is
+// announced, nothing is known of it but what it lists.
+func (c *Core) handleRestart(a Answer) {
+	previous := c.worker
+	next := previous.info
 	next.Born = a.Born
-	announced := former.candidate.ID != "" && former.candidate.Life() == next.Life()
+	announced := previous.candidate.ID != "" && previous.candidate.Life() == next.Life()
 	if announced {
-		next = former.candidate
+		next = previous.candidate
 	}
-	c.retire(former.info.Life())
-	c.markSuspects()
-	crashed := c.lostReason()
-	c.settleLapsed(crashed == runs.Crashed)
+	c.retire(previous.info.Life())
+	c.markSuspect()
+	reason := c.currentLossReason()
+	c.resolveExpiredEnds(reason == runs.Crashed)
 	c.refuseWaiting(runs.NoWorker)
-	c.held = ordered.Map[int64, *heldEnd]{} // what the former one listed is gone with it
+	c.held = ordered.Map[int64, *heldEnd]{} // the list of the previous incarnation is gone with it
 	c.worker = workerState{
-		info: next, known: true, again: true, unannounced: !announced, epoch: former.epoch + 1, token: max(a.Clock, former.token+1),
-		formerLease: formerLeases * c.settings.WorkerLease.Milliseconds(),
+		info: next, known: true, idReused: true, unannounced: !announced, epoch: previous.epoch + 1, token: max(a.Clock, previous.token+1),
+		previousLease: previousLeaseFactor * c.settings.WorkerLease.Milliseconds(),
 	}
-	c.worker.read(c.now, a.Clock)
-	c.pace = pace{}
+	c.worker.readClock(c.now, a.Clock)
+	c.speed = speedStats{}
 	for r := range c.runs.Values() {
 		if r.phase == phaseOrdered {
-			r.phase = phaseDoubtful
+			r.phase = phaseUnconfirmed
 		}
-		r.lost = crashed
+		r.lossReason = reason
 	}
-	c.noteLife("worker restarted", former.info.Life())
-	c.workerChanged()
+	c.recordRestart("worker restarted", previous.info.Life())
+	c.sendWorkerToAll()
 }
 
-// strandedAnswered handles the answer to a start that was on its way when the worker was
-// lost. If it was carried out, that may have been by the next incarnation.
-func (c *Core) strandedAnswered(r *run, a Answer) {
+// handleInFlightAnswer handles the answer to a start that was in flight when the worker was lost.
+// If it was carried out, that may have been by the next incarnation.
+func (c *Core) handleInFlightAnswer(r *run, a Answer) {
 	if a.Verdict != Accepted {
-		c.finish(r, c.lostEnd(r, runs.Stopped, r.lost))
+		c.finish(r, c.lossEnd(r, runs.Stopped, r.lossReason))
 		return
 	}
-	r.phase = phaseDoubtful
+	r.phase = phaseUnconfirmed
 }
 
-// expireStranded ends runs whose worker has not come back: their leases are over.
-func (c *Core) expireStranded() {
+// expireInFlight finishes runs whose starts were in flight when the worker was lost, once any
+// lease of that time has expired.
+func (c *Core) expireInFlight() {
 	for r := range c.runs.Values() {
-		if r.stranded && c.now.Sub(r.orderedAt) > c.longestLease()+strandedSlack {
+		if r.inFlight && c.now.Sub(r.orderedAt) > c.maxLease()+inFlightSlack {
 			c.finish(r, runs.End{Key: r.key, How: runs.Gone, Reason: runs.NoWorker})
 		}
 	}
 }
 
-// strandedSlack covers the time of a call and a slow clock of the worker.
-const strandedSlack = time.Second
+// inFlightSlack covers the duration of a call and a slow clock of the worker.
+const inFlightSlack = time.Second
 
-// longestLease is the longest lease that a worker may take.
-func (c *Core) longestLease() time.Duration {
-	return max(c.settings.LongestLease, formerLeases*c.settings.WorkerLease)
+// maxLease returns the longest lease that a worker may hold.
+func (c *Core) maxLease() time.Duration {
+	return max(c.settings.LongestLease, previousLeaseFactor*c.settings.WorkerLease)
 }
 
-// promiseLongest counts on the longest lease if a new incarnation under a known ID holds
-// something already: it carried out what was meant for the former one, in terms of
-// another clock.
-func (c *Core) promiseLongest(l Listing) {
-	if c.worker.again && len(l.Running)+len(l.Ended) > 0 {
-		c.worker.promised(c.worker.clock + c.longestLease().Milliseconds())
+// assumeMaxLease assumes the longest lease if a new incarnation under a reused ID has runs or
+// ends already: it carried out orders for the previous incarnation, in terms of another clock.
+func (c *Core) assumeMaxLease(l Listing) {
+	if c.worker.idReused && len(l.Running)+len(l.Ended) > 0 {
+		c.worker.recordDeadline(c.worker.clock + c.maxLease().Milliseconds())
 	}
 }
 
-func (c *Core) noteLife(event string, former runs.Life) {
-	c.out.Notes = append(c.out.Notes, Note{Event: event, Worker: c.worker.info.Life(), Former: former})
+// recordRestart records that the worker has another incarnation.
+func (c *Core) recordRestart(event string, previous runs.Life) {
+	c.out.Notes = append(c.out.Notes, Note{Event: event, Worker: c.worker.info.Life(), Former: previous})
 }
--- a/core/runner/restart_test.go
+++ b/core/runner/restart_test.go
@@ -7,196 +7,199 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Two incarnations under one ID.
+// Start times of two incarnations under one ID, in Unix ms.
 const (
-	firstBorn  = 1_000_000
-	secondBorn = 1_005_000
+	firstStart  = 1_000_000
+	secondStart = 1_005_000
 )
 
-func bornWorker(born int64) runs.Worker {
+// workerStartedAt is the incarnation of worker w1 with the given start time in Unix ms.
+func workerStartedAt(born int64) runs.Worker {
 	w := worker("w1")
 	w.Born = born
 	return w
 }
 
-// newLifeRig is a core with a worker that tells when it started.
-func newLifeRig(t *testing.T) *rig {
-	r := newRig(t)
-	r.former = lives{}
-	r.replaceWorker(bornWorker(firstBorn), 500_000)
-	r.lookAt(start, Listing{})
-	r.Flush(start)
-	return r
+// newRestartHarness returns a harness whose worker announces its start time, in its first
+// incarnation.
+func newRestartHarness(t *testing.T) *harness {
+	h := newHarness(t)
+	h.retired = retiredIncarnations{}
+	h.startIncarnation(workerStartedAt(firstStart), 500_000)
+	h.pollAt(start, Listing{})
+	h.Flush(start)
+	return h
 }
 
-// lookBy has a look answered by an incarnation.
-func (r *rig) lookBy(now time.Time, born, clock int64, listing Listing) Look {
-	look, ok := r.NextLook(now)
-	r.is.True(ok)
-	r.Looked(now, look, Answer{Verdict: Accepted, Clock: clock, Born: born}, listing)
-	return look
+// pollAnsweredBy has a poll answered by the incarnation with the given start time.
+func (h *harness) pollAnsweredBy(now time.Time, born, clock int64, listing Listing) Look {
+	poll, ok := h.NextLook(now)
+	h.is.True(ok)
+	h.Looked(now, poll, Answer{Verdict: Accepted, Clock: clock, Born: born}, listing)
+	return poll
 }
 
-func TestRunsOfAFormerIncarnationAreOverOnceThePresentOneWasLookedAt(t *testing.T) {
-	r := newLifeRig(t)
-	out := r.send(start, "t1", "t2", "t3")
-	r.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 500_001})
-	r.lookBy(after(20), secondBorn, 7000, Listing{Running: []Running{{Key: key("t2"), Percent: 1}}})
-	got := ends(r.Flush(after(20)))
-	r.is.Equal(len(got), 1) // the one that waited; the others may run there
-	r.is.Equal(got[0].Key, key("t3"))
-	r.is.Equal(got[0].How, runs.Refused)
-
-	look := r.lookBy(after(21), secondBorn, 7001, Listing{Running: []Running{{Key: key("t2"), Percent: 1}}})
-	r.is.True(look.Token > 500_000) // no late order for the former one has an effect any more
-	r.is.Equal(look.Deadline, int64(0))
-	got = ends(r.Flush(after(21)))
-	r.is.Equal(len(got), 1)
-	r.is.Equal(got[0].Key, key("t1"))
-	r.is.Equal(got[0].How, runs.Gone) // it began, so it is not refused
-	r.is.Equal(r.Runs(), 1)
+func TestRunsOfThePreviousIncarnationEndOnceThePresentOneWasPolled(t *testing.T) {
+	h := newRestartHarness(t)
+	out := h.send(start, "t1", "t2", "t3")
+	h.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 500_001})
+	h.pollAnsweredBy(after(20), secondStart, 7000, Listing{Running: []Running{{Key: key("t2"), Percent: 1}}})
+	got := ends(h.Flush(after(20)))
+	h.is.Equal(len(got), 1) // the waiting one; the others may run in the new incarnation
+	h.is.Equal(got[0].Key, key("t3"))
+	h.is.Equal(got[0].How, runs.Refused)
+
+	poll := h.pollAnsweredBy(after(21), secondStart, 7001, Listing{Running: []Running{{Key: key("t2"), Percent: 1}}})
+	h.is.True(poll.Token > 500_000) // delayed orders for the previous incarnation take no effect
+	h.is.Equal(poll.Deadline, int64(0))
+	got = ends(h.Flush(after(21)))
+	h.is.Equal(len(got), 1)
+	h.is.Equal(got[0].Key, key("t1"))
+	h.is.Equal(got[0].How, runs.Gone) // it had started, so it is not refused
+	h.is.Equal(h.Runs(), 1)
 }
 
-func TestWorkerThatStartedAgainTakesWorkOnceItHasAnnouncedItself(t *testing.T) {
-	r := newLifeRig(t)
-	r.worker.doubted = true
-	r.lookBy(after(20), secondBorn, 7000, Listing{})
-	r.lookBy(after(21), secondBorn, 7001, Listing{})
-	r.is.Equal(ends(r.send(after(22), "t1"))[0].Reason, runs.NoWorker) // its room is not known
-	r.is.True(r.Announced(after(30), bornWorker(secondBorn), 7010))
-	r.is.Equal(startsOf(r.send(after(31), "t2")), []runs.Key{key("t2")})
+func TestRestartedWorkerGetsWorkOnceItIsAnnounced(t *testing.T) {
+	h := newRestartHarness(t)
+	h.worker.restartSuspected = true
+	h.pollAnsweredBy(after(20), secondStart, 7000, Listing{})
+	h.pollAnsweredBy(after(21), secondStart, 7001, Listing{})
+	h.is.Equal(ends(h.send(after(22), "t1"))[0].Reason, runs.NoWorker) // its capacity is not known yet
+	h.is.True(h.Announced(after(30), workerStartedAt(secondStart), 7010))
+	h.is.Equal(startsOf(h.send(after(31), "t2")), []runs.Key{key("t2")})
 }
 
-func TestAnnouncementOfAnotherIncarnationHasTheWorkerAsked(t *testing.T) {
-	r := newLifeRig(t)
-	r.is.True(r.Announced(after(5), bornWorker(secondBorn), 7000))
-	look := r.lookBy(after(6), secondBorn, 7001, Listing{})
-	r.is.Equal(look.Wait, time.Duration(0))
-	r.is.Equal(look.Deadline, int64(0)) // it would be in terms of another clock
-	r.lookBy(after(7), secondBorn, 7002, Listing{})
-	r.is.Equal(startsOf(r.send(after(8), "t1")), []runs.Key{key("t1")})
-	r.is.Equal(r.Announced(after(9), bornWorker(firstBorn), 500_009), false) // came late
+func TestAnnouncementOfAnotherIncarnationCausesAPoll(t *testing.T) {
+	h := newRestartHarness(t)
+	h.is.True(h.Announced(after(5), workerStartedAt(secondStart), 7000))
+	poll := h.pollAnsweredBy(after(6), secondStart, 7001, Listing{})
+	h.is.Equal(poll.Wait, time.Duration(0))
+	h.is.Equal(poll.Deadline, int64(0)) // it would be in terms of another clock
+	h.pollAnsweredBy(after(7), secondStart, 7002, Listing{})
+	h.is.Equal(startsOf(h.send(after(8), "t1")), []runs.Key{key("t1")})
+	h.is.Equal(h.Announced(after(9), workerStartedAt(firstStart), 500_009), false) // a delayed announcement
 }
 
-func TestLateAnnouncementOfAFormerIncarnationChangesNothing(t *testing.T) {
-	r := newLifeRig(t)
-	out := r.send(start, "t1")
-	r.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 500_001})
-	r.is.True(r.Announced(after(5), bornWorker(firstBorn-9000), 400))
-	r.lookBy(after(6), firstBorn, 500_006, Listing{Running: []Running{{Key: key("t1")}}})
-	r.is.Equal(len(ends(r.Flush(after(6)))), 0)
-	r.is.Equal(r.worker.info.Born, int64(firstBorn))
-	r.is.Equal(r.Announced(after(7), bornWorker(firstBorn-9000), 500), false)
+func TestDelayedAnnouncementUnderTheSameIDChangesNothing(t *testing.T) {
+	h := newRestartHarness(t)
+	out := h.send(start, "t1")
+	h.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 500_001})
+	h.is.True(h.Announced(after(5), workerStartedAt(firstStart-9000), 400))
+	h.pollAnsweredBy(after(6), firstStart, 500_006, Listing{Running: []Running{{Key: key("t1")}}})
+	h.is.Equal(len(ends(h.Flush(after(6)))), 0)
+	h.is.Equal(h.worker.info.Born, int64(firstStart))
+	h.is.Equal(h.Announced(after(7), workerStartedAt(firstStart-9000), 500), false)
 }
 
-func TestLateAnswersOfAFormerIncarnationChangeNothing(t *testing.T) {
-	r := newLifeRig(t)
-	out := r.send(start, "t1")
-	old, _ := r.NextLook(after(1))
-	r.Announced(after(2), bornWorker(secondBorn), 7000)
-	r.lookBy(after(3), secondBorn, 7001, Listing{})
-	r.lookBy(after(4), secondBorn, 7002, Listing{})
-	r.Flush(after(4))
-	r.Looked(after(5), old, Answer{Verdict: Accepted, Clock: 500_003, Born: firstBorn}, Listing{
+func TestDelayedAnswersOfThePreviousIncarnationChangeNothing(t *testing.T) {
+	h := newRestartHarness(t)
+	out := h.send(start, "t1")
+	old, _ := h.NextLook(after(1))
+	h.Announced(after(2), workerStartedAt(secondStart), 7000)
+	h.pollAnsweredBy(after(3), secondStart, 7001, Listing{})
+	h.pollAnsweredBy(after(4), secondStart, 7002, Listing{})
+	h.Flush(after(4))
+	h.Looked(after(5), old, Answer{Verdict: Accepted, Clock: 500_003, Born: firstStart}, Listing{
 		Ended: []Ended{{Number: 9, Key: key("t1"), How: runs.Done}},
 	})
-	r.Ordered(after(6), out.Orders[0], Answer{Verdict: Accepted, Clock: 500_004})
-	r.is.Equal(r.worker.lastSeen, int64(0)) // its own ends begin at 1
-	r.is.Equal(r.worker.info.Born, int64(secondBorn))
-	r.is.True(r.worker.clock < 8000)
-	r.is.Equal(len(ends(r.Flush(after(6)))), 0)
+	h.Ordered(after(6), out.Orders[0], Answer{Verdict: Accepted, Clock: 500_004})
+	h.is.Equal(h.worker.lastEndNumber, int64(0)) // the new incarnation numbers its ends from 1
+	h.is.Equal(h.worker.info.Born, int64(secondStart))
+	h.is.True(h.worker.clock < 8000)
+	h.is.Equal(len(ends(h.Flush(after(6)))), 0)
 }
 
-// TestEndsAreNotForgottenWhileTheWorkerMayHaveStartedAgain: a number of the former
-// incarnation would have the present one forget ends that nobody has heard of.
-func TestEndsAreNotForgottenWhileTheWorkerMayHaveStartedAgain(t *testing.T) {
-	r := newLifeRig(t)
-	r.send(start, "t1", "t2")
-	r.lookBy(after(5), firstBorn, 500_005, Listing{
+// TestEndsAreNotAcknowledgedWhileTheWorkerMayHaveRestarted: with an end number of the previous
+// incarnation, the new one would forget ends that the agent has not received.
+func TestEndsAreNotAcknowledgedWhileTheWorkerMayHaveRestarted(t *testing.T) {
+	h := newRestartHarness(t)
+	h.send(start, "t1", "t2")
+	h.pollAnsweredBy(after(5), firstStart, 500_005, Listing{
 		Running: []Running{{Key: key("t2")}}, Ended: []Ended{{Number: 57, Key: key("t1"), How: runs.Done}},
 	})
-	look, _ := r.NextLook(after(6))
-	r.is.Equal(look.LastSeen, int64(57))
-	r.Looked(after(90), look, Answer{Verdict: NoAnswer}, Listing{})
-	look, _ = r.NextLook(after(91))
-	r.is.Equal(look.LastSeen, int64(0))
-	r.is.Equal(look.Deadline, int64(0))
-	r.is.Equal(len(startsOf(r.send(after(92), "t3"))), 0) // nor does anything start
-	r.Looked(after(93), look, Answer{Verdict: Accepted, Clock: 500_093, Born: firstBorn}, Listing{Running: []Running{{Key: key("t2")}}})
-	look, _ = r.NextLook(after(94))
-	r.is.Equal(look.LastSeen, int64(57))
-	r.is.Equal(startsOf(r.Flush(after(94))), []runs.Key{key("t3")})
+	poll, _ := h.NextLook(after(6))
+	h.is.Equal(poll.LastSeen, int64(57))
+	h.Looked(after(90), poll, Answer{Verdict: NoAnswer}, Listing{})
+	poll, _ = h.NextLook(after(91))
+	h.is.Equal(poll.LastSeen, int64(0))
+	h.is.Equal(poll.Deadline, int64(0))
+	h.is.Equal(len(startsOf(h.send(after(92), "t3"))), 0) // nothing starts either
+	h.Looked(after(93), poll, Answer{Verdict: Accepted, Clock: 500_093, Born: firstStart}, Listing{Running: []Running{{Key: key("t2")}}})
+	poll, _ = h.NextLook(after(94))
+	h.is.Equal(poll.LastSeen, int64(57))
+	h.is.Equal(startsOf(h.Flush(after(94))), []runs.Key{key("t3")})
 }
 
-// TestAnswerWithAnotherClockHasTheWorkerAsked: answers to orders do not tell who answers.
-func TestAnswerWithAnotherClockHasTheWorkerAsked(t *testing.T) {
-	r := newLifeRig(t)
-	out := r.send(start, "t1")
-	r.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 90_000_000})
-	r.is.True(r.worker.clock < 600_000)
-	r.lookBy(after(2), secondBorn, 90_000_001, Listing{Running: []Running{{Key: key("t1")}}})
-	r.lookBy(after(3), secondBorn, 90_000_002, Listing{Running: []Running{{Key: key("t1")}}})
-	r.is.Equal(len(ends(r.Flush(after(3)))), 0) // it runs in the present incarnation
-	// What that took as its lease was in terms of the former one's clock.
-	r.is.True(r.worker.promisedUntil >= 90_000_002+r.longestLease().Milliseconds())
+// TestAnswerWithAnotherClockCausesAPoll: answers to orders do not identify the incarnation.
+func TestAnswerWithAnotherClockCausesAPoll(t *testing.T) {
+	h := newRestartHarness(t)
+	out := h.send(start, "t1")
+	h.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 90_000_000})
+	h.is.True(h.worker.clock < 600_000)
+	h.pollAnsweredBy(after(2), secondStart, 90_000_001, Listing{Running: []Running{{Key: key("t1")}}})
+	h.pollAnsweredBy(after(3), secondStart, 90_000_002, Listing{Running: []Running{{Key: key("t1")}}})
+	h.is.Equal(len(ends(h.Flush(after(3)))), 0) // it runs in the new incarnation
+	// The lease of that start was in terms of the previous incarnation's clock.
+	h.is.True(h.worker.latestDeadline >= 90_000_002+h.maxLease().Milliseconds())
 }
 
-// TestStartOnItsWayWhenTheWorkerIsLostMayBeTheNextIncarnations.
-func TestStartOnItsWayWhenTheWorkerIsLostMayBeTheNextIncarnations(t *testing.T) {
-	r := newLifeRig(t)
-	out := r.send(start, "t1", "t2")
-	r.Ordered(after(1), out.Orders[0], Answer{Verdict: NotListening})
-	got := ends(r.Flush(after(1)))
-	r.is.Equal(len(got), 1) // the answer to t2 is on its way
-	r.is.Equal(got[0].Key, key("t1"))
-	r.is.Equal(got[0].How, runs.Refused)
-	r.Ordered(after(2), out.Orders[1], Answer{Verdict: Accepted, Clock: 7000})
-	r.Announced(after(3), bornWorker(secondBorn), 7001)
-	r.lookBy(after(4), secondBorn, 7002, Listing{Running: []Running{{Key: key("t2")}}})
-	r.is.Equal(r.runs.Get(key("t2")).phase, phaseRunning)
-	r.lookBy(after(5), secondBorn, 7003, Listing{Ended: []Ended{{Number: 1, Key: key("t2"), How: runs.Done}}})
-	last := ends(r.Flush(after(5)))
-	r.is.Equal(last[len(last)-1].How, runs.Done)
+// TestStartInFlightMayRunInTheNextIncarnation: the answer to a start is outstanding when the
+// worker is lost, and the next incarnation lists the run.
+func TestStartInFlightMayRunInTheNextIncarnation(t *testing.T) {
+	h := newRestartHarness(t)
+	out := h.send(start, "t1", "t2")
+	h.Ordered(after(1), out.Orders[0], Answer{Verdict: NotListening})
+	got := ends(h.Flush(after(1)))
+	h.is.Equal(len(got), 1) // the answer to t2 is outstanding
+	h.is.Equal(got[0].Key, key("t1"))
+	h.is.Equal(got[0].How, runs.Refused)
+	h.Ordered(after(2), out.Orders[1], Answer{Verdict: Accepted, Clock: 7000})
+	h.Announced(after(3), workerStartedAt(secondStart), 7001)
+	h.pollAnsweredBy(after(4), secondStart, 7002, Listing{Running: []Running{{Key: key("t2")}}})
+	h.is.Equal(h.runs.Get(key("t2")).phase, phaseRunning)
+	h.pollAnsweredBy(after(5), secondStart, 7003, Listing{Ended: []Ended{{Number: 1, Key: key("t2"), How: runs.Done}}})
+	last := ends(h.Flush(after(5)))
+	h.is.Equal(last[len(last)-1].How, runs.Done)
 }
 
-func TestWordThatAFormerIncarnationEndsDoesNotEndThePresentOne(t *testing.T) {
-	r := newLifeRig(t)
-	out := r.send(start, "t1")
-	r.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 500_001})
-	r.Left(after(2), "w1")
-	r.lookBy(after(3), firstBorn, 500_003, Listing{Running: []Running{{Key: key("t1")}}})
-	r.Tick(after(100))
-	r.is.Equal(len(ends(r.Flush(after(100)))), 0)
-	r.is.Equal(startsOf(r.send(after(101), "t2")), []runs.Key{key("t2")})
+func TestLeaveMessageOfThePreviousIncarnationDoesNotEndThePresentOne(t *testing.T) {
+	h := newRestartHarness(t)
+	out := h.send(start, "t1")
+	h.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 500_001})
+	h.Left(after(2), "w1")
+	h.pollAnsweredBy(after(3), firstStart, 500_003, Listing{Running: []Running{{Key: key("t1")}}})
+	h.Tick(after(100))
+	h.is.Equal(len(ends(h.Flush(after(100)))), 0)
+	h.is.Equal(startsOf(h.send(after(101), "t2")), []runs.Key{key("t2")})
 }
 
-// TestStartRefusedForItsTokenIsOver: the worker has done nothing, and the token rises in
-// steps that double, since a former incarnation's clock may have been far ahead.
+// TestStartRefusedForItsTokenIsOver: the worker has not started it. The token rises in steps that
+// double, since the clock of a previous incarnation may have been far ahead.
 func TestStartRefusedForItsTokenIsOver(t *testing.T) {
-	r := newLifeRig(t)
-	out := r.send(start, "t1")
-	r.Ordered(after(1), out.Orders[0], Answer{Verdict: RefusedFence, Clock: 500_001})
-	got := ends(r.Flush(after(1)))
-	r.is.Equal(len(got), 1)
-	r.is.Equal(got[0].How, runs.Refused)
+	h := newRestartHarness(t)
+	out := h.send(start, "t1")
+	h.Ordered(after(1), out.Orders[0], Answer{Verdict: RefusedFence, Clock: 500_001})
+	got := ends(h.Flush(after(1)))
+	h.is.Equal(len(got), 1)
+	h.is.Equal(got[0].How, runs.Refused)
 	const seen = 80_000_000
-	looks := 0
+	polls := 0
 	for now := 2; ; now++ {
-		look, ok := r.NextLook(after(now))
-		r.is.True(ok)
-		if looks++; look.Token > seen {
+		poll, ok := h.NextLook(after(now))
+		h.is.True(ok)
+		if polls++; poll.Token > seen {
 			break
 		}
-		r.Looked(after(now), look, Answer{Verdict: RefusedFence, Clock: int64(500_000 + now)}, Listing{})
+		h.Looked(after(now), poll, Answer{Verdict: RefusedFence, Clock: int64(500_000 + now)}, Listing{})
 	}
-	r.is.True(looks < 40)
+	h.is.True(polls < 40)
 }
 
-func TestFormerIncarnationsAreBounded(t *testing.T) {
-	r := newLifeRig(t)
-	for born := int64(firstBorn + 1); born < firstBorn+1000; born++ {
-		r.replaceWorker(bornWorker(born), 1)
+func TestRetiredIncarnationsAreBounded(t *testing.T) {
+	h := newRestartHarness(t)
+	for born := int64(firstStart + 1); born < firstStart+1000; born++ {
+		h.startIncarnation(workerStartedAt(born), 1)
 	}
-	r.is.Equal(len(r.former.known), livesKept)
-	r.is.Equal(len(r.former.order), livesKept)
+	h.is.Equal(len(h.retired.members), maxRetired)
+	h.is.Equal(len(h.retired.order), maxRetired)
 }
--- a/core/runner/run.go
+++ b/core/runner/run.go
@@ -13,93 +13,94 @@
 type phase uint8
 
 const (
-	// phaseWaiting: in the queue; the worker knows nothing of it.
+	// phaseWaiting: in the queue; the worker does not know of it.
 	phaseWaiting phase = iota
-	// phaseOrdered: the start was ordered and not answered yet.
+	// phaseOrdered: the start was ordered and is not answered yet.
 	phaseOrdered
 	// phaseRunning: the worker has confirmed it.
 	phaseRunning
-	// phaseDoubtful: the start got no answer; it may run now or later.
-	phaseDoubtful
+	// phaseUnconfirmed: the start got no answer; the task may run now or later.
+	phaseUnconfirmed
 )
 
-// run is one run of a task.
+// run is one execution of a task.
 type run struct {
 	key   runs.Key
 	owner runs.Entry
 	start runs.Start
 	need  room.Room
 	phase phase
-	// life is the worker's incarnation that was told to start it, or lists it.
-	life runs.Life
-	// stranded is set while the worker is gone and the answer to the start is on its way:
-	// it may be that of the next incarnation.
-	stranded bool
-	// lost tells how the incarnation that it was started in was lost, suspect whether a
-	// crash is put down to it.
-	lost    runs.Reason
-	suspect bool
-	// orphan marks a run of a former agent process that no entry has claimed.
+	// incarnation is the worker's incarnation that was ordered to start it, or that lists it.
+	incarnation runs.Life
+	// inFlight is set if the worker was lost while the answer to the start was outstanding: the
+	// next incarnation may carry the start out.
+	inFlight bool
+	// lossReason is why the incarnation that it was started in was lost. suspect is set if that
+	// is a crash blamed on this run.
+	lossReason runs.Reason
+	suspect    bool
+	// orphan is set for a run that no entry has ordered from this process or claimed.
 	orphan bool
-	// durable runs' ends are held until their entry has stored them.
+	// durable is set if the job is durable: the run's end is held until an entry has stored it.
 	durable bool
-	// checkpoint is the newest that the worker lists, told the one that the entry has.
-	checkpoint, told string
-	// startBy is when it should start to end in time; notAfter is when it must not
+	// checkpoint is the newest that the worker lists, reportedCheckpoint the one sent to the
+	// owner.
+	checkpoint, reportedCheckpoint string
+	// startBy is when it should start in order to end in time; latestStart is when it must not
 	// start any more.
-	startBy, notAfter time.Time
-	orderedAt         time.Time
-	// orderDeadline is the deadline that the start order carried, on the worker's
-	// clock.
+	startBy, latestStart time.Time
+	orderedAt            time.Time
+	// orderDeadline is the deadline of the start order, on the worker's clock in ms.
 	orderDeadline int64
 	// confirmedAt is when the worker first confirmed it.
 	confirmedAt time.Time
-	percent     int
+	percentDone int
 	percentAt   time.Time
-	// stopReason is set once it shall end. stopOrderedAt is when the last stop was
-	// ordered, stopAnsweredAt when one was answered.
+	// stopReason is set once it is to be stopped. stopOrderedAt is when the last stop was
+	// ordered, stopAnsweredAt when the last answer to a stop arrived.
 	stopReason     runs.Reason
 	stopOrderedAt  time.Time
 	stopAnsweredAt time.Time
-	// overBy is when others count on its end; zero while it may go on.
-	overBy time.Time
+	// endDeadline is when others rely on its end; zero while it may go on.
+	endDeadline time.Time
 }
 
-// waiting is the queue of runs that wait for room, the most urgent first.
-type waiting []*run
+// runQueue holds the runs that wait for free capacity, the most urgent first.
+type runQueue []*run
 
-func (w *waiting) add(r *run) {
-	at := sort.Search(len(*w), func(i int) bool { return (*w)[i].startBy.After(r.startBy) })
-	*w = append(*w, nil)
-	copy((*w)[at+1:], (*w)[at:])
-	(*w)[at] = r
+func (q *runQueue) add(r *run) {
+	at := sort.Search(len(*q), func(i int) bool { return (*q)[i].startBy.After(r.startBy) })
+	*q = append(*q, nil)
+	copy((*q)[at+1:], (*q)[at:])
+	(*q)[at] = r
 }
 
-func (w *waiting) remove(r *run) {
-	for i, other := range *w {
+func (q *runQueue) remove(r *run) {
+	for i, other := range *q {
 		if other == r {
-			*w = append((*w)[:i], (*w)[i+1:]...)
+			*q = append((*q)[:i], (*q)[i+1:]...)
 			return
 		}
 	}
 }
 
-// admit takes a start into the queue or refuses it.
+// admit queues or refuses a run. sentAt is the reading of this agent's clock, in Unix ns, that
+// the start came with.
 func (c *Core) admit(l *link, s *runs.Start, sentAt int64) {
 	if other := c.runs.Get(s.Key); other != nil {
 		if other.owner.Incarnation != l.entry.Incarnation {
-			// Entries number the runs of a job each from 1: this start is another one.
+			// Each entry numbers the runs of a job from 1: this is a run of another entry.
 			l.out.Ends = append(l.out.Ends, runs.End{Key: s.Key, How: runs.Refused, Reason: runs.OldRun})
 			l.dirty = true
 		}
-		return // else a repeated order
+		return // a repeated start of the same entry
 	}
 	r := &run{
 		key: s.Key, owner: l.entry, start: *s, need: s.Need,
-		durable: s.Durable, startBy: c.now.Add(s.Slack), notAfter: time.Unix(0, sentAt).Add(s.Patience),
+		durable: s.Durable, startBy: c.now.Add(s.Slack), latestStart: time.Unix(0, sentAt).Add(s.Patience),
 	}
 	c.loadChanged = true
-	if reason := c.refusal(l, r); reason != runs.NoReason {
+	if reason := c.refusalReason(l, r); reason != runs.NoReason {
 		c.finish(r, runs.End{Key: r.key, How: runs.Refused, Reason: reason})
 		return
 	}
@@ -111,18 +112,18 @@
 	c.queue.add(r)
 }
 
-// refusal returns why a run cannot be taken.
-func (c *Core) refusal(l *link, r *run) runs.Reason {
+// refusalReason returns why a run cannot be admitted, or NoReason.
+func (c *Core) refusalReason(l *link, r *run) runs.Reason {
 	switch {
-	case c.draining || c.worker.info.Draining || l.released():
+	case c.draining || c.worker.info.Draining || l.isReleased():
 		return runs.Draining
-	case c.drained():
+	case c.isDrained():
 		return runs.Drained
-	case !c.worker.synced || c.outOfUse():
+	case !c.worker.synced || c.isUnavailable():
 		return runs.NoWorker
-	case !c.leased(r.owner):
+	case !c.hasLease(r.owner):
 		return runs.NoLease
-	case c.now.After(r.notAfter):
+	case c.now.After(r.latestStart):
 		return runs.Late
 	case !c.worker.info.Capacity.Fits(r.need) || len(c.queue) >= c.settings.QueueLimit:
 		return runs.NoRoom
@@ -130,51 +131,51 @@
 	return runs.NoReason
 }
 
-// startWaiting orders the start of waiting runs that fit, the most urgent first.
-// A smaller run may pass one that does not fit, so that no room stays unused.
+// startWaiting orders the start of waiting runs that fit, the most urgent first. A smaller run
+// may start before one that does not fit, so that no capacity stays unused.
 //
-// A run whose entry has no link does not start: the entry could not take it back. It may
-// be gone, or its caller may have left it for another entry while the link was broken;
-// what starts then is work in vain, or runs beside the same task of the other entry.
+// A run whose entry has no link does not start, since the entry could not withdraw it. The entry
+// may be gone, or its caller may have turned to another entry while the link was broken: the run
+// would be wasted, or run beside the same task of the other entry.
 func (c *Core) startWaiting() {
-	if len(c.queue) == 0 || !c.worker.synced || c.outOfUse() || c.drained() || c.mayHaveRestarted() {
+	if len(c.queue) == 0 || !c.worker.synced || c.isUnavailable() || c.isDrained() || c.mayHaveRestarted() {
 		return
 	}
-	lease := c.leaseToTake()
-	if lease < shortestLease {
+	lease := c.leaseToRequest()
+	if lease < minStartLease {
 		return
 	}
-	left := c.roomLeft()
-	gate := c.newGate()
-	var still waiting
+	left := c.freeCapacity()
+	iso := c.newIsolation()
+	var waiting runQueue
 	for _, r := range c.queue {
-		if !c.linked(r.owner) {
-			still = append(still, r)
+		if !c.hasLink(r.owner) {
+			waiting = append(waiting, r)
 			continue
 		}
 		if !left.Fits(r.need) {
-			still = append(still, r)
+			waiting = append(waiting, r)
 			if !c.settings.Policy.Has(policy.Passing) {
 				left = room.Room{}
 			}
 			continue
 		}
-		if !gate.admits(r.start.Suspicion) {
-			still = append(still, r)
+		if !iso.admits(r.start.Suspicion) {
+			waiting = append(waiting, r)
 			if r.start.Suspicion == runs.Alone {
 				left = room.Room{} // else the worker would never be empty
 			}
 			continue
 		}
 		left = left.Minus(r.need)
-		gate.pass(r.start.Suspicion)
-		c.order(r, lease)
+		iso.add(r.start.Suspicion)
+		c.orderStart(r, lease)
 	}
-	c.queue = still
+	c.queue = waiting
 }
 
-// linked reports whether a link to an entry's process is open.
-func (c *Core) linked(entry runs.Entry) bool {
+// hasLink reports whether a link to an entry's incarnation is open.
+func (c *Core) hasLink(entry runs.Entry) bool {
 	for l := range c.links.Values() {
 		if l.entry.Incarnation == entry.Incarnation {
 			return true
@@ -183,36 +184,37 @@
 	return false
 }
 
-// order has the worker start a run under a lease.
-func (c *Core) order(r *run, lease time.Duration) {
+// orderStart orders the worker to start a run under the given lease.
+func (c *Core) orderStart(r *run, lease time.Duration) {
 	r.phase = phaseOrdered
 	r.orderedAt = c.now
-	r.life = c.worker.info.Life()
+	r.incarnation = c.worker.info.Life()
 	r.orderDeadline = c.worker.deadline(c.now, lease)
-	c.worker.promised(r.orderDeadline)
+	c.worker.recordDeadline(r.orderDeadline)
 	c.out.Orders = append(c.out.Orders, Order{
 		Kind: OrderStart, Key: r.key, Worker: c.worker.info.ID, Born: c.worker.info.Born, Token: c.worker.token,
 		Deadline: r.orderDeadline, Spec: r.start.Spec, Checkpoint: r.start.Checkpoint,
 	})
 }
 
-// expireWaiting refuses waiting runs whose time has passed.
+// expireWaiting refuses waiting runs whose latest start has passed.
 func (c *Core) expireWaiting() {
-	for _, r := range append(waiting(nil), c.queue...) {
-		if c.now.After(r.notAfter) {
-			c.end(r, runs.Late)
+	for _, r := range append(runQueue(nil), c.queue...) {
+		if c.now.After(r.latestStart) {
+			c.terminate(r, runs.Late)
 		}
 	}
 }
 
+// refuseWaiting refuses all waiting runs.
 func (c *Core) refuseWaiting(reason runs.Reason) {
-	for _, r := range append(waiting(nil), c.queue...) {
-		c.end(r, reason)
+	for _, r := range append(runQueue(nil), c.queue...) {
+		c.terminate(r, reason)
 	}
 }
 
-// end has a run end: a waiting one at once, others by a stop.
-func (c *Core) end(r *run, reason runs.Reason) {
+// terminate ends a run: a waiting one is refused at once, others are stopped.
+func (c *Core) terminate(r *run, reason runs.Reason) {
 	if r.phase == phaseWaiting {
 		c.queue.remove(r)
 		c.finish(r, runs.End{Key: r.key, How: runs.Refused, Reason: reason})
@@ -223,11 +225,12 @@
 	}
 	r.stopReason = reason
 	if reason == runs.Asked {
-		c.stoppedSlow(r)
+		c.observeStopped(r)
 	}
 	c.orderStop(r)
 }
 
+// orderStop orders the worker to stop a run.
 func (c *Core) orderStop(r *run) {
 	r.stopOrderedAt = c.now
 	if !c.worker.known {
@@ -236,33 +239,33 @@
 	c.out.Orders = append(c.out.Orders, Order{
 		Kind: OrderStop, Key: r.key, Worker: c.worker.info.ID, Born: c.worker.info.Born, Token: c.worker.token,
 	})
-	c.note("stop", r, r.stopReason)
+	c.recordDecision("stop", r, r.stopReason)
 }
 
-// stopAsked handles an entry's request to end a run. One that is wanted, and shall start
-// again elsewhere, may take its time: its entry waits for the end.
-func (c *Core) stopAsked(l *link, key runs.Key, wanted bool) {
+// handleStopRequest handles an entry's request to end a run. If the result is still wanted and
+// the task is to start elsewhere, the run gets no end deadline: its entry waits for the end.
+func (c *Core) handleStopRequest(l *link, key runs.Key, wanted bool) {
 	r := c.runs.Get(key)
 	if r == nil {
-		c.answerUnknown(l, key)
+		c.reportUnknown(l, key)
 		return
 	}
 	if r.owner.Incarnation != l.entry.Incarnation {
 		return
 	}
 	if !wanted {
-		c.mustEnd(r, c.now)
+		c.setEndDeadline(r, c.now)
 	}
-	c.end(r, runs.Asked)
+	c.terminate(r, runs.Asked)
 }
 
-// answerUnknown tells an entry how a run that is not here ended.
-func (c *Core) answerUnknown(l *link, key runs.Key) {
+// reportUnknown reports the end of a run that is not here, as far as it is known.
+func (c *Core) reportUnknown(l *link, key runs.Key) {
 	end, ok := c.recent.find(key)
 	if !ok {
 		end = runs.End{Key: key, How: runs.Gone}
-		if len(c.former.order) > 0 {
-			end.Reason = runs.Lapsed // it may have gone with a former incarnation
+		if len(c.retired.order) > 0 {
+			end.Reason = runs.Lapsed // it may have ended with a previous incarnation
 		}
 	}
 	for h := range c.held.Values() {
@@ -275,30 +278,30 @@
 	l.dirty = true
 }
 
-// retryStopAfter is the time after which a stop that has not ended its run is
-// ordered again. A stop takes some 50 ms at the worker.
-const retryStopAfter = 150 * time.Millisecond
+// stopRetryInterval is the time after which a stop is repeated if its run has not ended. The
+// worker takes about 50 ms for a stop.
+const stopRetryInterval = 150 * time.Millisecond
 
-// retryStops repeats stops that have had no effect.
+// retryStops repeats stops whose runs have not ended.
 func (c *Core) retryStops() {
 	for r := range c.runs.Values() {
-		if r.stopReason != runs.NoReason && c.now.Sub(r.stopOrderedAt) >= retryStopAfter {
+		if r.stopReason != runs.NoReason && c.now.Sub(r.stopOrderedAt) >= stopRetryInterval {
 			c.orderStop(r)
 		}
 	}
 }
 
-// finish removes a run that is certainly over and tells its entry.
+// finish removes a run that is certainly over and reports its end.
 func (c *Core) finish(r *run, end runs.End) {
 	c.runs.Delete(r.key)
 	c.loadChanged = true
 	c.recent.add(end)
-	c.note("end "+end.How.String(), r, end.Reason)
-	c.tellEnd(r.owner, end)
+	c.recordDecision("end "+end.How.String(), r, end.Reason)
+	c.sendEnd(r.owner, end)
 }
 
-// tellEnd tells the owner of a run how it ended.
-func (c *Core) tellEnd(owner runs.Entry, end runs.End) {
+// sendEnd sends an end to the owner of the run, if it has a link.
+func (c *Core) sendEnd(owner runs.Entry, end runs.End) {
 	for l := range c.links.Values() {
 		if l.entry.Incarnation == owner.Incarnation {
 			l.out.Ends = append(l.out.Ends, end)
@@ -307,7 +310,8 @@
 	}
 }
 
-func (c *Core) note(event string, r *run, reason runs.Reason) {
+// recordDecision records a decision about a run for the log.
+func (c *Core) recordDecision(event string, r *run, reason runs.Reason) {
 	age := time.Duration(0)
 	if !r.orderedAt.IsZero() {
 		age = c.now.Sub(r.orderedAt)
@@ -315,10 +319,10 @@
 	c.out.Notes = append(c.out.Notes, Note{Event: event, Key: r.key, Entry: r.owner.Address, Reason: reason, Age: age})
 }
 
-// recentLimit bounds the remembered ends: some seconds of a busy worker.
-const recentLimit = 1024
+// maxRecentEnds is the number of remembered ends: a busy worker has as many in some seconds.
+const maxRecentEnds = 1024
 
-// recentEnds remembers ends for entries whose link broke before they heard.
+// recentEnds remembers the latest ends for entries whose links broke before they received them.
 type recentEnds struct {
 	ends  map[runs.Key]runs.End
 	order []runs.Key
@@ -331,7 +335,7 @@
 		e.order = append(e.order, end.Key)
 	}
 	e.ends[end.Key] = end
-	if len(e.order) > recentLimit {
+	if len(e.order) > maxRecentEnds {
 		delete(e.ends, e.order[0])
 		e.order = e.order[1:]
 	}
--- a/core/runner/worker.go
+++ b/core/runner/worker.go
@@ -7,88 +7,92 @@
 	"peridotpick.example/wire/runs"
 )
 
-// workerState is what the agent knows of the worker's present incarnation.
+// workerState is the state of the worker's present incarnation.
 type workerState struct {
 	info runs.Worker
-	// known: the incarnation has announced itself.
+	// known is set once an incarnation was announced or recalled from the registry.
 	known bool
-	// synced: it was looked at with this process's token, so that all its runs
-	// are known and no order of a former process can have an effect.
+	// synced is set once the worker was polled with this process's token: all its runs are known
+	// then, and no order of a previous process can take effect.
 	synced   bool
 	syncedAt time.Time
 	token    int64
-	// tokenStep is by how much the token was raised last.
+	// tokenStep is the amount by which the token was raised last.
 	tokenStep int64
-	// lastSeen is the number of the newest end taken note of.
-	lastSeen int64
-	// acknowledged is the newest lastSeen that the worker has answered.
+	// lastEndNumber is the number of the newest end handled.
+	lastEndNumber int64
+	// acknowledged is the highest number of an end whose acknowledgement the worker has
+	// confirmed.
 	acknowledged int64
-	// clock is a reading of the worker's clock in ms, received at readAt.
-	clock  int64
-	readAt time.Time
-	// promisedUntil is the latest deadline ever sent, on the worker's clock.
-	promisedUntil int64
-	// formerLease is what a former agent process may have promised beyond the first
-	// reading of the clock, in ms.
-	formerLease int64
-	// candidate is another incarnation that has announced itself. The announcement
-	// may be an old one that came late, so the worker is asked who it is.
+	// clock is the highest reading of the worker's clock in ms, received at clockReadAt.
+	clock       int64
+	clockReadAt time.Time
+	// latestDeadline is the latest deadline that the worker may have received, on its clock in
+	// ms.
+	latestDeadline int64
+	// previousLease is how far beyond the first reading of the clock, in ms, a lease of a
+	// previous agent process may reach.
+	previousLease int64
+	// candidate is another incarnation that was announced. The announcement may be an old one
+	// that was delayed, so the worker is polled to find out. candidateClock is its clock in ms.
 	candidate      runs.Worker
 	candidateClock int64
-	// leftAt is when the incarnation said that it ends; its runs may need a moment.
-	leftAt time.Time
-	// epoch rises whenever what was known of the worker's runs no longer holds.
+	// leavingSince is when the worker announced that the incarnation ends; its runs may need a
+	// moment to end.
+	leavingSince time.Time
+	// epoch rises whenever the known state of the worker's runs becomes invalid.
 	epoch uint64
-	// lookedAt is when the newest look was made that was answered; answers of
-	// older ones tell what was.
-	lookedAt time.Time
-	// unanswered counts the looks in a row that got no answer.
-	unanswered int
-	// again: the server has started again under the ID that it had.
-	again bool
-	// unannounced: the incarnation has answered and said nothing of itself yet.
+	// answeredPollAt is when the newest answered poll was sent; answers to older polls are
+	// outdated.
+	answeredPollAt time.Time
+	// unansweredPolls counts the polls since the last answer.
+	unansweredPolls int
+	// idReused is set if a retired incarnation had the same ID.
+	idReused bool
+	// unannounced is set while the incarnation has answered but not announced itself.
 	unannounced bool
-	// doubted is set while the server may have started again under its ID.
-	doubted bool
+	// restartSuspected is set while the server may have restarted under the same ID.
+	restartSuspected bool
 }
 
-// clockDrift is how much slower than real time a worker's clock may run.
-const clockDrift = 0.02
+// maxClockDrift is the greatest fraction by which a worker's clock may run slower than real time.
+const maxClockDrift = 0.02
 
-// read takes a reading of the worker's clock.
-func (w *workerState) read(now time.Time, clock int64) {
+// readClock takes a reading of the worker's clock in ms. Older readings are ignored.
+func (w *workerState) readClock(now time.Time, clock int64) {
 	if clock <= w.clock {
 		return
 	}
 	if w.clock == 0 {
-		w.promised(clock + w.formerLease)
+		w.recordDeadline(clock + w.previousLease)
 	}
 	w.clock = clock
-	w.readAt = now
+	w.clockReadAt = now
 }
 
-// earliest returns the lowest value that the worker's clock may show.
-func (w *workerState) earliest(now time.Time) int64 {
-	since := float64(now.Sub(w.readAt).Milliseconds()) * (1 - clockDrift)
+// clockLowerBound returns the lowest value that the worker's clock may show now, in ms.
+func (w *workerState) clockLowerBound(now time.Time) int64 {
+	since := float64(now.Sub(w.clockReadAt).Milliseconds()) * (1 - maxClockDrift)
 	return w.clock + int64(since)
 }
 
-// deadline returns the end of a lease from now on, on the worker's clock.
+// deadline returns the end of a lease that starts now, on the worker's clock in ms.
 func (w *workerState) deadline(now time.Time, lease time.Duration) int64 {
-	return w.earliest(now) + lease.Milliseconds()
+	return w.clockLowerBound(now) + lease.Milliseconds()
 }
 
-func (w *workerState) promised(deadline int64) { w.promisedUntil = max(w.promisedUntil, deadline) }
+// recordDeadline records a deadline that the worker may have received.
+func (w *workerState) recordDeadline(ms int64) { w.latestDeadline = max(w.latestDeadline, ms) }
 
-// Announced handles an announcement of the worker. It returns false if the
-// announcement is of an incarnation that is over.
+// Announced handles an announcement of the worker with a reading of its clock in ms. It returns
+// false if the announced incarnation is retired.
 func (c *Core) Announced(now time.Time, info runs.Worker, clock int64) bool {
 	c.now = now
-	if c.former.has(info.Life()) {
+	if c.retired.has(info.Life()) {
 		return false
 	}
 	if !c.worker.known {
-		c.replaceWorker(info, clock)
+		c.startIncarnation(info, clock)
 		return true
 	}
 	if c.worker.info.Life() != info.Life() {
@@ -96,7 +100,7 @@
 		c.worker.candidateClock = clock
 		return true
 	}
-	c.worker.read(now, clock)
+	c.worker.readClock(now, clock)
 	changed := info.Draining != c.worker.info.Draining || info.Capacity != c.worker.info.Capacity || c.worker.unannounced
 	c.worker.unannounced = false
 	c.worker.info = info
@@ -104,49 +108,51 @@
 		if info.Draining {
 			c.refuseWaiting(runs.Draining)
 		}
-		c.handOn()
-		c.workerChanged()
+		c.refuseUnfitting()
+		c.sendWorkerToAll()
 	}
 	return true
 }
 
-// Recalled handles what a former process of this agent was told by its worker.
-// The first look, without a token, tells the worker's clock or that the
-// incarnation is over.
+// Recalled handles what the registry has of the worker, as announced to a previous process of
+// this agent. The first poll has no token; its answer contains the worker's clock or tells that
+// the incarnation is over.
 func (c *Core) Recalled(now time.Time, info runs.Worker) {
 	c.now = now
-	if !c.worker.known && !c.former.has(info.Life()) {
-		c.replaceWorker(info, 0)
+	if !c.worker.known && !c.retired.has(info.Life()) {
+		c.startIncarnation(info, 0)
 	}
 }
 
-// replaceWorker begins with a new incarnation. All runs of the former are over.
-func (c *Core) replaceWorker(info runs.Worker, clock int64) {
+// startIncarnation replaces the worker's incarnation by a new one. All runs of the previous one
+// are over.
+func (c *Core) startIncarnation(info runs.Worker, clock int64) {
 	c.loseWorker()
 	c.worker = workerState{
-		info: info, known: true, again: c.former.hasID(info.ID), token: clock,
-		formerLease: formerLeases * c.settings.WorkerLease.Milliseconds(),
+		info: info, known: true, idReused: c.retired.hasID(info.ID), token: clock,
+		previousLease: previousLeaseFactor * c.settings.WorkerLease.Milliseconds(),
 	}
-	c.worker.read(c.now, clock)
-	c.pace = pace{}
-	c.workerChanged()
+	c.worker.readClock(c.now, clock)
+	c.speed = speedStats{}
+	c.sendWorkerToAll()
 }
 
-// formerLeases is how many of this process's leases a former one may have taken.
-const formerLeases = 2
+// previousLeaseFactor is the longest lease that a previous agent process may have requested, as a
+// multiple of this process's.
+const previousLeaseFactor = 2
 
-// replaced handles that the present incarnation is over.
-func (c *Core) replaced() {
+// handleIncarnationOver handles that the present incarnation is over.
+func (c *Core) handleIncarnationOver() {
 	next, clock := c.worker.candidate, c.worker.candidateClock
 	c.loseWorker()
 	if next.ID != "" {
-		c.replaceWorker(next, clock)
+		c.startIncarnation(next, clock)
 	}
 }
 
-// dropCandidate handles that the present incarnation has answered: another one
-// that announced itself is over.
-func (c *Core) dropCandidate() {
+// retireCandidate handles an answer of the present incarnation, which proves that the candidate
+// is over.
+func (c *Core) retireCandidate() {
 	if c.worker.candidate.ID == "" {
 		return
 	}
@@ -154,136 +160,140 @@
 	c.worker.candidate = runs.Worker{}
 }
 
-// retire notes that an incarnation is over; its announcements come late from now on.
-func (c *Core) retire(life runs.Life) { c.former.add(life) }
+// retire records that an incarnation is over, so that its delayed announcements are rejected.
+func (c *Core) retire(incarnation runs.Life) { c.retired.add(incarnation) }
 
-// loseWorker ends all runs of the present incarnation, which is over.
+// loseWorker finishes the runs of the present incarnation, which is over.
 func (c *Core) loseWorker() {
-	c.held = ordered.Map[int64, *heldEnd]{} // what the incarnation listed is gone with it
+	c.held = ordered.Map[int64, *heldEnd]{} // the worker's list of ends is gone with the incarnation
 	if c.worker.known {
 		c.retire(c.worker.info.Life())
 	}
-	c.markSuspects()
-	c.settleLapsed(c.lostReason() == runs.Crashed)
-	c.endAll(c.lostReason())
+	c.markSuspect()
+	c.resolveExpiredEnds(c.currentLossReason() == runs.Crashed)
+	c.finishAll(c.currentLossReason())
 	c.worker = workerState{info: runs.Worker{Agent: c.settings.Agent}}
-	c.workerChanged()
+	c.sendWorkerToAll()
 }
 
-// endAll reports all runs as over: they are not at the worker any more.
-func (c *Core) endAll(reason runs.Reason) {
+// finishAll finishes all runs, which are no longer at the worker. A start that is in flight may
+// still reach the next incarnation, so that its run stays.
+func (c *Core) finishAll(reason runs.Reason) {
 	for r := range c.runs.Values() {
 		if r.phase == phaseWaiting {
 			c.queue.remove(r)
 			c.finish(r, runs.End{Key: r.key, How: runs.Refused, Reason: runs.NoWorker})
 			continue
 		}
-		if r.phase == phaseOrdered && r.life.Born != 0 {
-			r.stranded, r.lost = true, reason
+		if r.phase == phaseOrdered && r.incarnation.Born != 0 {
+			r.inFlight, r.lossReason = true, reason
 			continue
 		}
-		if !r.stranded {
-			c.finish(r, c.lostEnd(r, runs.Stopped, reason))
+		if !r.inFlight {
+			c.finish(r, c.lossEnd(r, runs.Stopped, reason))
 		}
 	}
 }
 
-// Left handles the worker's word that an incarnation ends. Its runs count as over
-// only once it has had the time to end them.
+// Left handles the worker's message that an incarnation ends. Its runs are finished after
+// stopGrace, once it has had the time to end them.
 func (c *Core) Left(now time.Time, id string) {
 	c.now = now
-	if !c.worker.known || c.worker.info.ID != id || !c.worker.leftAt.IsZero() {
+	if !c.worker.known || c.worker.info.ID != id || !c.worker.leavingSince.IsZero() {
 		return
 	}
 	if c.worker.info.Born != 0 && !c.worker.info.Draining {
-		c.worker.doubted = true // a former incarnation under this ID may have said so
+		c.worker.restartSuspected = true // a previous incarnation under this ID may have sent it
 		return
 	}
-	c.worker.leftAt = now
+	c.worker.leavingSince = now
 	c.worker.synced = false
 	c.refuseWaiting(runs.NoWorker)
-	c.workerChanged()
+	c.sendWorkerToAll()
 }
 
 // stopGrace is how long a worker may take to end its runs.
 const stopGrace = 50 * time.Millisecond
 
-func (c *Core) expireLeft() {
-	if !c.worker.leftAt.IsZero() && c.now.Sub(c.worker.leftAt) > stopGrace {
-		c.replaced()
+// expireLeaving ends the present incarnation stopGrace after it announced that it ends.
+func (c *Core) expireLeaving() {
+	if !c.worker.leavingSince.IsZero() && c.now.Sub(c.worker.leavingSince) > stopGrace {
+		c.handleIncarnationOver()
 	}
 }
 
-// silentLooks is the number of looks in a row without an answer from which the
-// worker is taken to be out of reach. A single answer may be lost.
-const silentLooks = 2
+// unansweredPollLimit is the number of successive polls without an answer after which the worker
+// counts as unreachable. A single answer may be lost.
+const unansweredPollLimit = 2
 
-// silent reports whether the worker is out of reach. Its lease is then no longer
-// renewed: an unanswered call may have renewed it, and runs could not be told to
-// be over as long as such calls go out.
-func (c *Core) silent() bool { return c.worker.unanswered >= silentLooks }
+// isUnreachable reports whether the worker is unreachable. Its lease is then no longer renewed:
+// an unanswered call may have renewed it, so that its runs could not be declared over as long as
+// such calls are sent.
+func (c *Core) isUnreachable() bool { return c.worker.unansweredPolls >= unansweredPollLimit }
 
-// unanswered counts a look without an answer.
-func (c *Core) unanswered() {
-	c.worker.unanswered++
-	if c.worker.unanswered == silentLooks {
+// countUnanswered counts a poll without an answer.
+func (c *Core) countUnanswered() {
+	c.worker.unansweredPolls++
+	if c.worker.unansweredPolls == unansweredPollLimit {
 		c.refuseWaiting(runs.NoWorker)
-		c.workerChanged()
+		c.sendWorkerToAll()
 	}
 }
 
-// answered notes that the worker is in reach.
-func (c *Core) answered() {
-	was := c.silent()
-	c.worker.unanswered = 0
-	if was {
-		c.workerChanged()
+// resetUnanswered handles that the worker has answered a poll.
+func (c *Core) resetUnanswered() {
+	wasUnreachable := c.isUnreachable()
+	c.worker.unansweredPolls = 0
+	if wasUnreachable {
+		c.sendWorkerToAll()
 	}
 }
 
-// expireWorker ends all runs once their lease has certainly passed on the
-// worker's clock; the worker must then be looked at anew.
-func (c *Core) expireWorker() {
-	if !c.worker.synced || c.occupied() == 0 {
+// expireWorkerLease finishes all runs once their lease has certainly expired on the worker's
+// clock. The worker must be polled again before it gets new work.
+func (c *Core) expireWorkerLease() {
+	if !c.worker.synced || c.runsAtWorker() == 0 {
 		return
 	}
-	if c.worker.earliest(c.now) <= c.worker.promisedUntil+stopGrace.Milliseconds() {
+	if c.worker.clockLowerBound(c.now) <= c.worker.latestDeadline+stopGrace.Milliseconds() {
 		return
 	}
 	c.worker.synced = false
 	c.worker.epoch++
-	c.markSuspects()
-	c.rememberLapsed()
-	c.endAll(runs.Lapsed)
-	c.workerChanged()
+	c.markSuspect()
+	c.keepExpiredEnds()
+	c.finishAll(runs.Lapsed)
+	c.sendWorkerToAll()
 }
 
-// workerChanged has all entries told of the worker.
-func (c *Core) workerChanged() {
+// sendWorkerToAll sends the worker's description to all entries.
+func (c *Core) sendWorkerToAll() {
 	c.loadChanged = true
 	for l := range c.links.Values() {
-		c.tellWorker(l)
+		c.sendWorker(l)
 	}
 }
 
-func (c *Core) tellWorker(l *link) {
+// sendWorker adds the worker's description to a link's next message. The description has no ID
+// while the worker may be given nothing.
+func (c *Core) sendWorker(l *link) {
 	info := c.worker.info
 	info.Draining = info.Draining || c.draining
-	info.Released, info.OnDemand = l.released(), l.onDemand
-	if !c.worker.synced || c.outOfUse() {
+	info.Released, info.OnDemand = l.isReleased(), l.onDemand
+	if !c.worker.synced || c.isUnavailable() {
 		info.ID = ""
 	}
 	l.out.Worker = &info
 	l.dirty = true
 }
 
-// reconcile answers entries what became of the runs that they believe to be here.
+// reconcile handles the pending lists of owned runs, once it is known what runs at the worker.
 func (c *Core) reconcile() {
 	if c.worker.known && !c.worker.synced {
 		return
 	}
-	if !c.worker.known && len(c.former.order) == 0 {
-		return // a new process that has not heard of its worker cannot know
+	if !c.worker.known && len(c.retired.order) == 0 {
+		return // a new process that does not know its worker yet cannot tell what runs there
 	}
 	for id, owned := range c.pendingOwned.All() {
 		c.pendingOwned.Delete(id)
@@ -293,13 +303,15 @@
 	}
 }
 
+// reconcileRun reports the end of a run that an entry believes to be here but that is not, and
+// adopts an orphan.
 func (c *Core) reconcileRun(l *link, o runs.Owned) {
 	r := c.runs.Get(o.Key)
 	switch {
 	case r == nil:
-		c.answerUnknown(l, o.Key)
+		c.reportUnknown(l, o.Key)
 		if !o.Durable {
-			c.noted([]runs.Key{o.Key})
+			c.releaseEnds([]runs.Key{o.Key})
 		}
 	case r.orphan:
 		r.orphan = false
@@ -308,18 +320,18 @@
 		r.start.Estimate = o.Estimate
 		r.durable = o.Durable
 		c.loadChanged = true
-		c.note("adopt", r, runs.NoReason)
+		c.recordDecision("adopt", r, runs.NoReason)
 	}
 }
 
-// stopOrphans stops runs of a former process that no entry has claimed.
+// stopOrphans stops orphans that no entry has claimed within AdoptWithin.
 func (c *Core) stopOrphans() {
 	if !c.worker.synced || c.now.Sub(c.worker.syncedAt) < c.settings.AdoptWithin {
 		return
 	}
 	for r := range c.runs.Values() {
 		if r.orphan {
-			c.end(r, runs.NoLease)
+			c.terminate(r, runs.NoLease)
 		}
 	}
 }
