--- a/core/runner/core.go
+++ b/core/runner/core.go
@@ -212,7 +212,7 @@
 // loadUpdatesPerSecond limits the messages a second, to all entries together, that carry nothing
 // but a changed load. Each start and end changes the load: sending each change at once on each
 // link costs a message for each task and entry, which saturated the processors of 55 entries with
-// 240 agents on a calm day. Ends, progress reports and heartbeats carry the load anyway. With the
+// 240 agents even under low load. Ends, progress reports and heartbeats carry the load anyway. With the
 // six links of a subset, 480 a second are one each 12 ms and link; with 160 a second the worth
 // earned in a burst was 0.842 instead of 0.866.
 const loadUpdatesPerSecond = 480
--- a/core/runner/run.go
+++ b/core/runner/run.go
@@ -46,8 +46,8 @@
 	// checkpoint is the newest that the worker lists, reportedCheckpoint the one sent to the
 	// owner.
 	checkpoint, reportedCheckpoint string
-	// startBy is when it should start in order to end in time; latestStart is when it must not
-	// start any more.
+	// startBy is when it should start in order to end in time; it must not start after
+	// latestStart.
 	startBy, latestStart time.Time
 	orderedAt            time.Time
 	// orderDeadline is the deadline of the start order, on the worker's clock in ms.
