--- a/core/ledger/follow.go
+++ b/core/ledger/follow.go
@@ -8,60 +8,61 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Load takes all rows, read by a call that was sent at a time.
+// Load takes all rows of the store, as read by a call that was sent at sentAt.
 func (c *Core) Load(now time.Time, rows []Stored, sentAt time.Time) {
 	c.loaded = true
 	c.Learn(now, rows, sentAt)
 }
 
-// Learn takes changed rows, read by a call that was sent at a time. What it shows
-// confirms the ownership of all other jobs.
+// Learn takes the rows that have changed, as read by a poll that was sent at sentAt. The poll
+// confirms the ownership of all jobs that it does not show as taken by another entry. A zero sentAt
+// confirms nothing.
 func (c *Core) Learn(now time.Time, rows []Stored, sentAt time.Time) {
 	c.now = now
 	for i := range rows {
-		c.learn(&rows[i])
+		c.applyRow(&rows[i])
 	}
 	if sentAt.After(c.confirmedAt) {
 		c.confirmedAt = sentAt
 	}
-	for _, name := range names(c.active) {
-		c.handOver(c.active[name])
+	for _, name := range sortedNames(c.active) {
+		c.startIfConfirmed(c.active[name])
 	}
 }
 
-func (c *Core) learn(s *Stored) {
+func (c *Core) applyRow(s *Stored) {
 	j := c.jobs[s.Job]
 	if s.Row == nil {
-		if j != nil && s.Version > j.version && j.writing == nil {
-			c.drop(j)
+		if j != nil && s.Version > j.version && j.pendingWrite == nil {
+			c.removeJob(j)
 		}
 		return
 	}
 	if j == nil {
-		delete(c.doubts, s.Job)
+		delete(c.unknownSince, s.Job)
 		j = &job{name: s.Job, row: s.Row, version: s.Version}
-		c.put(j)
-		// A row of this entry that is not known here comes from a write whose sender
-		// no longer waits.
-		j.wanted = c.mine(j)
+		c.addJob(j)
+		// This entry has written the row, but the request for that write no longer waits, so that
+		// nothing else starts the job.
+		j.needsStart = c.isOwned(j)
 		return
 	}
 	if s.Version <= j.version {
 		return
 	}
-	if j.writing != nil && c.made(*j.writing, s.Row) {
-		c.applied(j, *j.writing, s.Version)
+	if j.pendingWrite != nil && c.isFromWrite(*j.pendingWrite, s.Row) {
+		c.handleApplied(j, *j.pendingWrite, s.Version)
 		return
 	}
 	if j.version == 0 {
-		return // the write under way will meet it
+		return // the write in flight conflicts with this row and is handled then
 	}
 	j.row = s.Row
 	j.version = s.Version
-	c.follow(j)
+	c.handleRowChange(j)
 }
 
-// Peers tells which entries were heard of lately.
+// Peers records that other entries are alive.
 func (c *Core) Peers(now time.Time, alive []runs.Entry) {
 	c.now = now
 	for _, e := range alive {
@@ -72,63 +73,66 @@
 }
 
 const (
-	// walkEvery is the time between two walks over the open jobs.
-	walkEvery = 200 * time.Millisecond
-	// rankDelay is how long an entry waits for the next better placed one to take a
-	// job over.
-	rankDelay = 1500 * time.Millisecond
-	// sweepEvery is the time between two searches for rows to remove, removalsAtOnce
-	// the number that one removes.
-	sweepEvery = 5 * time.Second
-	// doubtLasts is far above the time after which agents ask again.
-	doubtLasts     = 30 * time.Second
-	removalsAtOnce = 200
+	// scanInterval is the time between two scans of the active jobs.
+	scanInterval = 200 * time.Millisecond
+	// takeoverDelayPerRank is how long an entry waits for each entry that comes before it in the
+	// order in which entries take a job over.
+	takeoverDelayPerRank = 1500 * time.Millisecond
+	// sweepInterval is the time between two searches for rows to remove, maxRemovalsPerSweep the
+	// number of rows that one search removes at most.
+	sweepInterval = 5 * time.Second
+	// unknownRetention is how long a question for an unknown job is remembered after it was first
+	// asked. Agents repeat a question after a far shorter time.
+	unknownRetention    = 30 * time.Second
+	maxRemovalsPerSweep = 200
 )
 
-// Tick handles the passing of time.
+// Tick handles the passing of time: it takes over jobs of entries that are gone, sends writes that
+// are due again, and removes old rows.
 func (c *Core) Tick(now time.Time) {
 	c.now = now
-	if !c.loaded || now.Sub(c.walkedAt) < walkEvery {
+	if !c.loaded || now.Sub(c.scannedAt) < scanInterval {
 		return
 	}
-	c.walkedAt = now
-	if c.confirmed() {
-		for _, name := range names(c.active) {
+	c.scannedAt = now
+	if c.isConfirmed() {
+		for _, name := range sortedNames(c.active) {
 			c.takeOver(c.active[name])
-			c.next(c.active[name])
+			c.sendNextWrite(c.active[name])
 		}
 	}
-	if now.Sub(c.sweptAt) >= sweepEvery {
+	if now.Sub(c.sweptAt) >= sweepInterval {
 		c.sweptAt = now
-		c.removeOld()
-		c.forgetDoubts()
+		c.removeEndedRows()
+		c.forgetUnknown()
 	}
 }
 
-// takeOver makes a job this entry's if its owner is gone.
+// takeOver takes a job over if its owner is gone.
 func (c *Core) takeOver(j *job) {
-	if c.mine(j) || j.writing != nil || j.version == 0 {
+	if c.isOwned(j) || j.pendingWrite != nil || j.version == 0 {
 		return
 	}
 	goneSince, certain := c.goneSince(j.row.Owner)
-	if goneSince.IsZero() || c.now.Sub(goneSince) < time.Duration(c.rank(j.name))*rankDelay {
+	if goneSince.IsZero() || c.now.Sub(goneSince) < time.Duration(c.takeoverRank(j.name))*takeoverDelayPerRank {
 		return
 	}
-	j.safeIn = c.settings.RunsOver
+	j.startDelay = c.settings.RunsOver
 	reason := "its process is gone"
 	if !certain {
-		j.safeIn += c.settings.OwnFor
+		j.startDelay += c.settings.OwnFor
 		reason = "its entry is silent"
 	}
-	c.note(j, "take over", reason)
+	c.logDecision(j, "take over", reason)
 	row := *j.row
 	row.Owner = c.settings.Self
 	row.Epoch++
-	c.write(j, row, 0, false)
+	c.sendWrite(j, row, 0, false)
 }
 
-// goneSince tells since when an entry is taken to be gone; zero if it is not. It is
-// certain that its process has ended if another one runs at its address.
+// goneSince returns since when an owner is gone; zero if it is not. That is certain if another
+// process answers at the owner's address. Otherwise the owner has only been silent for longer than
+// SilentAfter and may still be alive.
 func (c *Core) goneSince(owner runs.Entry) (since time.Time, certain bool) {
 	if owner.Address == c.settings.Self.Address {
 		return c.startedAt, true
@@ -147,15 +151,16 @@
 	return last.Add(c.settings.SilentAfter), false
 }
 
-// rank returns this entry's place in the order in which entries take a job over.
-func (c *Core) rank(name string) int {
+// takeoverRank returns this entry's position in the order in which the live entries take a job
+// over; 0 is the first.
+func (c *Core) takeoverRank(name string) int {
 	alive := []string{c.settings.Self.Address}
 	for address, p := range c.peers {
 		if c.now.Sub(p.heardAt) < c.settings.SilentAfter {
 			alive = append(alive, address)
 		}
 	}
-	sort.Slice(alive, func(i, k int) bool { return score(name, alive[i]) < score(name, alive[k]) })
+	sort.Slice(alive, func(i, k int) bool { return rendezvousScore(name, alive[i]) < rendezvousScore(name, alive[k]) })
 	for i, address := range alive {
 		if address == c.settings.Self.Address {
 			return i
@@ -164,38 +169,39 @@
 	return 0
 }
 
-// score orders entries differently for each job.
-func score(name, address string) uint64 {
+// rendezvousScore returns the score of an entry for a job. Each job has an order of entries of its
+// own.
+func rendezvousScore(name, address string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name + "\x00" + address)) // never fails
 	return h.Sum64()
 }
 
-// forgetDoubts forgets questions that were not repeated.
-func (c *Core) forgetDoubts() {
-	for name, asked := range c.doubts {
-		if c.now.Sub(asked) > doubtLasts {
-			delete(c.doubts, name)
+// forgetUnknown removes the questions for unknown jobs that are older than unknownRetention.
+func (c *Core) forgetUnknown() {
+	for name, asked := range c.unknownSince {
+		if c.now.Sub(asked) > unknownRetention {
+			delete(c.unknownSince, name)
 		}
 	}
 }
 
-// removeOld removes rows of jobs that ended long ago. The entry that is first in
-// the job's order does it.
-func (c *Core) removeOld() {
+// removeEndedRows removes the rows of jobs whose retention has passed. Only the entry that is first
+// in the takeover order of a job removes its row.
+func (c *Core) removeEndedRows() {
 	removed := 0
-	for _, name := range names(c.jobs) {
+	for _, name := range sortedNames(c.jobs) {
 		j := c.jobs[name]
-		if j.endedAt.IsZero() || c.now.Sub(j.endedAt) < c.settings.KeepEnded || j.writing != nil {
+		if j.endedAt.IsZero() || c.now.Sub(j.endedAt) < c.settings.KeepEnded || j.pendingWrite != nil {
 			continue
 		}
-		if removed == removalsAtOnce || c.rank(name) != 0 {
+		if removed == maxRemovalsPerSweep || c.takeoverRank(name) != 0 {
 			continue
 		}
 		removed++
-		c.lastWrite++
-		w := Write{Job: name, Expect: j.version, id: c.lastWrite}
-		j.writing = &w
+		c.lastWriteID++
+		w := Write{Job: name, Expect: j.version, id: c.lastWriteID}
+		j.pendingWrite = &w
 		c.out.Writes = append(c.out.Writes, w)
 	}
 }
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -1,25 +1,25 @@
-// Package ledger decides, for one entry, which durable jobs there are, what the
-// store shall keep of them, and which of them this entry runs.
+// Package ledger is the decision core for durable jobs in one entry: it tracks all durable jobs,
+// decides what is written to the store about them, and which of them this entry runs.
 //
-// Each durable job is one row of the store, changed only under the condition that
-// it still has the version last seen. The row names the entry that owns the job.
-// All entries follow the changes of all rows, so that each can tell a job's state
-// and take it over.
+// Each durable job is one row in the store. A row is only written on the condition that it still
+// has the version that the writer last read. The row names the entry that owns the job. Every entry
+// reads the changes of all rows, so each one knows the state of every job and can take it over.
 //
-// Ownership. An entry runs a job it owns only as long as it has confirmed that: a
-// look at the changes that was sent at a time and has been answered shows that
-// nobody had taken the job before that time. The confirmation lasts OwnFor. An entry
-// that takes a job over from one that may still be alive waits that long, and for
-// the runs to end by their leases, before it starts anything.
+// Ownership. An entry runs a job only while its ownership of that job is confirmed. A poll of the
+// changes confirms it: once the poll is answered, no other entry can have taken the job before the
+// poll was sent. A confirmation is valid for Settings.OwnFor, counted from the sending of the poll.
+// An entry that takes a job over from an owner that may still be alive waits for that time, and for
+// the leases of the owner's runs to expire, before it starts any task.
 //
 // Edge cases:
-//   - The answer to a write may be lost: the write is repeated under the same
-//     condition, and a row that it made itself is known by its writer and number.
-//   - A job is accepted only when its row is stored. If the store refuses the write
-//     it is refused, truthfully; with an unknown fate it is neither.
-//   - While the changes cannot be followed a job that is not known here may exist.
+//   - The answer to a write may be lost. The write is repeated under the same condition, and a row
+//     that an earlier attempt has written is recognised by its writer and write number.
+//   - A job is accepted only once its row is stored. If the store rejects the write, the job is
+//     refused and certainly not stored. While the result of the write is unknown, the job is
+//     neither accepted nor refused.
+//   - While the changes cannot be read, a job that is unknown here may still exist.
 //
-// The package is deterministic: events and time go in, an Output comes out.
+// The package is deterministic: events and the current time are its input, an Output is its result.
 package ledger
 
 import (
@@ -31,164 +31,175 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Settings of a ledger.
+// Settings configures a Core.
 type Settings struct {
 	Self runs.Entry
-	// OwnFor is how long a confirmation of ownership lasts.
+	// OwnFor is how long a confirmation of ownership is valid, counted from the sending of the poll
+	// that confirmed it.
 	OwnFor time.Duration
-	// RunsOver is the time after which all runs of an entry that is gone are over.
+	// RunsOver is the time after which all runs of an entry that is gone have ended.
 	RunsOver time.Duration
-	// SilentAfter is the silence after which another entry is taken to be gone.
+	// SilentAfter is how long another entry may be silent before it counts as gone.
 	SilentAfter time.Duration
-	// KeepEnded is how long the state of an ended job can be asked for.
+	// KeepEnded is how long the row of an ended job is kept, so that callers can ask for its state.
 	KeepEnded time.Duration
-	// MaxOpen bounds the jobs of this entry that have not ended.
+	// MaxOpen limits the number of jobs of this entry that have not ended.
 	MaxOpen int
 }
 
-// RequestID names one awaited answer.
+// RequestID identifies a request that waits for an Answer.
 type RequestID uint64
 
-// Answer ends a request.
+// Answer is the result of a request.
 type Answer struct {
 	Request RequestID
 	Kind    errkind.Kind
 }
 
-// Own has the entry run a job.
+// Own tells the entry to run a job that it owns.
 type Own struct {
-	Job    string
-	Row    *Row
+	Job string
+	Row *Row
+	// SafeAt is when all runs that the previous owner, or this entry before it lost its
+	// confirmation, may have started have certainly ended; zero if there are none.
 	SafeAt time.Time
 }
 
-// Stores tells that a record is in the store.
+// Stores reports that the record with number Seq of a job is stored.
 type Stores struct {
 	Job string
 	Seq uint64
 }
 
-// Output is what the ledger wants done.
+// Output is what the caller has to carry out after an event.
 type Output struct {
-	Writes    []Write
-	Answers   []Answer
-	Owns      []Own
-	Disowns   []string
+	Writes  []Write
+	Answers []Answer
+	// Owns lists the jobs that the entry's core has to run.
+	Owns []Own
+	// Disowns lists the jobs that it has to stop because another entry has taken them over.
+	Disowns []string
+	// Cancelled lists the jobs that it has to stop because they are cancelled.
 	Cancelled []string
-	Stored    []Stores
-	// Ended are jobs that the store has as ended since the last call.
+	// Stored lists the records that are stored since the last call.
+	Stored []Stores
+	// Ended lists the jobs that have ended in the store since the last call.
 	Ended []string
 	Notes []Note
 }
 
-// Note is one decision for the log.
+// Note is a decision to be logged and counted.
 type Note struct {
 	Event string
 	Job   string
 	Queue string
-	// Version is that of the row, Epoch that of its owner.
+	// Version is the version of the row, Epoch the epoch of its owner.
 	Version, Epoch uint64
 	Reason         string
-	// Age is that of the newest confirmation.
+	// Age is the time since the newest confirmation of ownership.
 	Age time.Duration
 }
 
-// job is what is known of one durable job.
+// job is what this entry knows of one durable job.
 type job struct {
 	name    string
 	row     *Row
 	version uint64
-	// inserting holds the requests that wait for the first write.
-	inserting []RequestID
-	// cancelling holds the requests that wait for a cancel.
-	cancelling []RequestID
-	// writing is the write under way; record the newest record that it does not have.
-	writing *Write
-	record  *batch.Record
-	// wanted jobs are this entry's and are not run yet; former is set if runs of
-	// another owner, or of an earlier time, may still be there, safeIn how long they may.
-	wanted bool
-	safeIn time.Duration
-	// running jobs were handed to the entry.
+	// insertRequests are the requests that wait for the first write of the row.
+	insertRequests []RequestID
+	// cancelRequests are the requests that wait until the job is cancelled.
+	cancelRequests []RequestID
+	// pendingWrite is the write in flight; nil if there is none. pendingRecord is the newest record
+	// that is not part of a write yet.
+	pendingWrite  *Write
+	pendingRecord *batch.Record
+	// needsStart is set while this entry owns the job and has not handed it to its core yet.
+	// startDelay is how long runs of the previous owner, or runs from before ownership was
+	// interrupted, may still go on.
+	needsStart bool
+	startDelay time.Duration
+	// running is set while the entry's core runs the job.
 	running bool
-	// endedAt is when the job was first seen as ended.
+	// endedAt is when the job was first seen as ended; zero if it has not ended.
 	endedAt time.Time
 }
 
-// peer is another entry as it was last heard.
+// peer is another entry, as of the last time it was seen alive.
 type peer struct {
 	incarnation uint64
 	heardAt     time.Time
 }
 
-// Core is the state of one entry's ledger.
+// Core is the ledger of one entry.
 type Core struct {
 	settings Settings
 	jobs     map[string]*job
-	// active are the jobs that have not ended.
+	// active holds the jobs that have not ended.
 	active map[string]*job
 	peers  map[string]peer
-	// doubts are jobs that are not known here, with the time they were first asked for.
-	doubts map[string]time.Time
-	// loaded is set once all rows were read; confirmedAt is when the newest answered
-	// look at the changes was sent.
+	// unknownSince has, for each job that was asked for and is not known here, the time of the
+	// first question.
+	unknownSince map[string]time.Time
+	// loaded is set once all rows were read. confirmedAt is when the newest answered poll of the
+	// changes was sent.
 	loaded      bool
 	confirmedAt time.Time
 	startedAt   time.Time
-	walkedAt    time.Time
+	scannedAt   time.Time
 	sweptAt     time.Time
-	lastWrite   uint64
+	lastWriteID uint64
 	now         time.Time
 	out         Output
 }
 
-// New returns an empty ledger.
+// New returns a ledger without jobs.
 func New(s Settings, now time.Time) *Core {
 	return &Core{
-		settings: s, jobs: make(map[string]*job), active: make(map[string]*job), peers: make(map[string]peer), doubts: make(map[string]time.Time),
+		settings: s, jobs: make(map[string]*job), active: make(map[string]*job), peers: make(map[string]peer), unknownSince: make(map[string]time.Time),
 		startedAt: now, now: now,
 	}
 }
 
-// Flush returns what the events since the last call ask for.
+// Flush returns what has to be carried out for the events since the last call.
 func (c *Core) Flush() Output {
 	out := c.out
 	c.out = Output{}
 	return out
 }
 
-// Open returns the number of jobs of this entry that have not ended.
+// Open returns the number of jobs owned by this entry that have not ended.
 func (c *Core) Open() int {
 	n := 0
 	for _, j := range c.active {
-		if c.mine(j) {
+		if c.isOwned(j) {
 			n++
 		}
 	}
 	return n
 }
 
-// Empty reports whether no durable job is known, as far as the rows were read.
+// Empty reports whether all rows were read and there is no durable job.
 func (c *Core) Empty() bool { return c.loaded && len(c.jobs) == 0 }
 
-// Unconfirmed reports whether jobs wait for a confirmation of ownership.
+// Unconfirmed reports whether this entry owns jobs but cannot run them because its ownership is not
+// confirmed.
 func (c *Core) Unconfirmed() bool {
-	if c.confirmed() {
+	if c.isConfirmed() {
 		return false
 	}
 	for _, j := range c.active {
-		if c.mine(j) && j.version > 0 {
+		if c.isOwned(j) && j.version > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func (c *Core) mine(j *job) bool {
+func (c *Core) isOwned(j *job) bool {
 	return j.row != nil && j.row.Owner.Incarnation == c.settings.Self.Incarnation
 }
 
-// OwnedUntil is until when this entry may run what it owns.
+// OwnedUntil returns the end of the newest confirmation of ownership; zero if there was none.
 func (c *Core) OwnedUntil() time.Time {
 	if c.confirmedAt.IsZero() {
 		return time.Time{}
@@ -196,14 +207,14 @@
 	return c.confirmedAt.Add(c.settings.OwnFor)
 }
 
-func (c *Core) confirmed() bool { return c.now.Before(c.OwnedUntil()) }
+func (c *Core) isConfirmed() bool { return c.now.Before(c.OwnedUntil()) }
 
-// Fresh reports whether every job that was accepted more than a time ago is known.
+// Fresh reports whether every job that was accepted at least the given time ago is known here.
 func (c *Core) Fresh(now time.Time, within time.Duration) bool {
 	return c.loaded && now.Sub(c.confirmedAt) < within
 }
 
-// Accept takes a job in. It is answered when the job is stored, or cannot be.
+// Accept stores a new job. The request is answered once the job is stored or refused.
 func (c *Core) Accept(now time.Time, id RequestID, name string, row *Row) {
 	c.now = now
 	j := c.jobs[name]
@@ -211,7 +222,7 @@
 	case j != nil && j.version > 0:
 		c.answer(id, errkind.OK)
 	case j != nil:
-		j.inserting = append(j.inserting, id)
+		j.insertRequests = append(j.insertRequests, id)
 	case !c.loaded:
 		c.refuse(id, name, row.Queue, errkind.StoreUnavailable, "the stored jobs are not read yet")
 	case c.Open() >= c.settings.MaxOpen:
@@ -219,13 +230,13 @@
 	default:
 		row.Owner = c.settings.Self
 		row.Epoch = 1
-		j = &job{name: name, row: row, inserting: []RequestID{id}}
-		c.put(j)
-		c.write(j, *row, 0, true)
+		j = &job{name: name, row: row, insertRequests: []RequestID{id}}
+		c.addJob(j)
+		c.sendWrite(j, *row, 0, true)
 	}
 }
 
-// Cancel ends a job. It is answered when that is stored.
+// Cancel cancels a job. The request is answered once the cancellation is stored or has failed.
 func (c *Core) Cancel(now time.Time, id RequestID, name string) {
 	c.now = now
 	j := c.jobs[name]
@@ -239,24 +250,24 @@
 	case j.row.State.Ended():
 		c.answer(id, errkind.NotFound)
 	default:
-		j.cancelling = append(j.cancelling, id)
-		c.next(j)
+		j.cancelRequests = append(j.cancelRequests, id)
+		c.sendNextWrite(j)
 	}
 }
 
-// Record has the store keep what the entry knows of a job it runs.
+// Record stores the progress of a job that the entry runs.
 func (c *Core) Record(now time.Time, r batch.Record) {
 	c.now = now
 	j := c.jobs[r.Job]
-	if j == nil || !c.mine(j) {
+	if j == nil || !c.isOwned(j) {
 		return
 	}
-	j.record = &r
-	c.next(j)
+	j.pendingRecord = &r
+	c.sendNextWrite(j)
 }
 
-// GaveUp handles that the entry has stopped a job, since its ownership was not
-// confirmed in time.
+// GaveUp handles that the entry's core has stopped a job because its ownership was not confirmed in
+// time. The job starts again once it is.
 func (c *Core) GaveUp(now time.Time, name string) {
 	c.now = now
 	j := c.jobs[name]
@@ -264,13 +275,13 @@
 		return
 	}
 	j.running = false
-	j.record = nil
-	j.wanted = true
-	j.safeIn = c.settings.RunsOver
-	c.note(j, "ownership not confirmed", "")
+	j.pendingRecord = nil
+	j.needsStart = true
+	j.startDelay = c.settings.RunsOver
+	c.logDecision(j, "ownership not confirmed", "")
 }
 
-// State tells the state of a job.
+// State returns the stored state of a job, and whether the job is known.
 func (c *Core) State(name string) (batch.JobState, bool) {
 	j := c.jobs[name]
 	if j == nil || j.version == 0 {
@@ -279,7 +290,7 @@
 	return j.row.State, true
 }
 
-// Waiting counts the jobs of a queue of which no task is known to have begun.
+// Waiting returns the number of jobs in a queue none of whose tasks is known to have begun.
 func (c *Core) Waiting(queue string) int {
 	n := 0
 	for _, j := range c.active {
@@ -290,29 +301,30 @@
 	return n
 }
 
-// Settle decides about the end of a run of a job that the entry does not run. It
-// may be forgotten if nobody needs it, and is void if the job may have ended by
-// another run. Otherwise its owner will ask for it.
+// Settle decides on the end of a run whose job this entry does not run. The end is noted if no
+// entry needs it, so the agent may forget it. It is void if the job may have ended by another run
+// of the same task. If neither is set, the agent keeps the end until the owner of the job
+// acknowledges it.
 //
-// A job that is not known here may have been accepted elsewhere a moment ago. Its row
-// was in the store before the run began, so that a look at the changes sent after the
-// question shows it; until then there is no answer.
+// A job that is unknown here may just have been accepted by another entry. Its row was stored
+// before the run began, so a poll of the changes that is sent after the first question shows it.
+// Until such a poll is answered, neither is set.
 func (c *Core) Settle(now time.Time, end runs.End) (noted, void bool) {
 	c.now = now
 	j := c.jobs[end.Key.Job()]
 	switch {
 	case j == nil:
-		return c.certainlyUnknown(end.Key.Job()), false
+		return c.isConfirmedAbsent(end.Key.Job()), false
 	case !j.row.State.Ended():
 		return false, false
-	case j.row.State == batch.JobCancelled, end.How != runs.Done && end.How != runs.Failed, j.row.counts(end.Key):
+	case j.row.State == batch.JobCancelled, end.How != runs.Done && end.How != runs.Failed, j.row.isCounted(end.Key):
 		return true, false
 	}
 	return false, true
 }
 
-// counts reports whether a run is the one by which its task ended.
-func (r *Row) counts(key runs.Key) bool {
+// isCounted reports whether a run is the one that completed its task.
+func (r *Row) isCounted(key runs.Key) bool {
 	for _, p := range r.Progress {
 		if key.Task == batch.TaskName(key.Job(), p.Step, p.Index) {
 			return key.Run == p.Run
@@ -321,11 +333,11 @@
 	return false
 }
 
-// certainlyUnknown reports whether a job that is not known here is in no row.
-func (c *Core) certainlyUnknown(name string) bool {
-	asked, before := c.doubts[name]
+// isConfirmedAbsent reports whether a job that is unknown here certainly has no row.
+func (c *Core) isConfirmedAbsent(name string) bool {
+	asked, before := c.unknownSince[name]
 	if !before {
-		c.doubts[name] = c.now
+		c.unknownSince[name] = c.now
 		return false
 	}
 	return c.loaded && c.confirmedAt.After(asked)
@@ -340,20 +352,20 @@
 	c.out.Notes = append(c.out.Notes, Note{Event: "refuse", Job: name, Queue: queue, Reason: reason, Age: c.now.Sub(c.confirmedAt)})
 }
 
-func (c *Core) note(j *job, event, reason string) {
+func (c *Core) logDecision(j *job, event, reason string) {
 	c.out.Notes = append(c.out.Notes, Note{
 		Event: event, Job: j.name, Queue: j.row.Queue, Version: j.version, Epoch: j.row.Epoch, Reason: reason,
 		Age: c.now.Sub(c.confirmedAt),
 	})
 }
 
-func (c *Core) put(j *job) {
+func (c *Core) addJob(j *job) {
 	c.jobs[j.name] = j
-	c.sort(j)
+	c.updateActive(j)
 }
 
-// sort keeps a job among the active ones until it has ended.
-func (c *Core) sort(j *job) {
+// updateActive adds a job to the active ones, or removes it if it has ended.
+func (c *Core) updateActive(j *job) {
 	if !j.row.State.Ended() {
 		c.active[j.name] = j
 		return
@@ -365,13 +377,13 @@
 	}
 }
 
-func (c *Core) drop(j *job) {
+func (c *Core) removeJob(j *job) {
 	delete(c.jobs, j.name)
 	delete(c.active, j.name)
 }
 
-// names returns the names of jobs in a fixed order.
-func names(jobs map[string]*job) []string {
+// sortedNames returns the names of jobs in alphabetical order, so that decisions are deterministic.
+func sortedNames(jobs map[string]*job) []string {
 	list := make([]string, 0, len(jobs))
 	for name := range jobs {
 		list = append(list, name)
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -12,51 +12,52 @@
 )
 
 var (
-	begin = time.Unix(1000, 0)
+	start = time.Unix(1000, 0)
 	self  = runs.Entry{Address: "a:1", Incarnation: 1}
 	other = runs.Entry{Address: "b:1", Incarnation: 2}
 )
 
-func after(ms int) time.Time { return begin.Add(time.Duration(ms) * time.Millisecond) }
+func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func newCore() *Core {
 	return New(Settings{
 		Self: self, OwnFor: 5 * time.Second, RunsOver: time.Second, SilentAfter: 2 * time.Second, KeepEnded: time.Minute, MaxOpen: 2,
-	}, begin)
+	}, start)
 }
 
-// loaded returns a core that knows some rows and is sure of its ownership.
-func loaded(rows ...Stored) *Core {
+// newLoadedCore returns a core that has read the given rows and whose ownership is confirmed at
+// start.
+func newLoadedCore(rows ...Stored) *Core {
 	c := newCore()
-	c.Load(begin, rows, begin)
+	c.Load(start, rows, start)
 	c.Flush()
 	return c
 }
 
-func theirs(job string, version uint64) Stored {
+func rowOfPeer(job string, version uint64) Stored {
 	return Stored{Job: job, Version: version, Row: &Row{Queue: "q", Owner: other, Epoch: 1, Steps: []batch.Step{{Count: 1}}}}
 }
 
-// insert hands a job in and returns its write.
-func insert(c *Core, now time.Time, id RequestID, job string) Write {
+// acceptJob accepts a new job and returns the write of its row.
+func acceptJob(c *Core, now time.Time, id RequestID, job string) Write {
 	c.Accept(now, id, job, &Row{Queue: "q", Steps: []batch.Step{{Count: 1}}})
 	return c.Flush().Writes[0]
 }
 
-// accepted is a core that owns one job.
-func accepted(job string) *Core {
-	c := loaded()
-	w := insert(c, begin, 1, job)
-	c.Written(begin, w, Outcome{Fate: Applied, Version: 7})
+// newCoreOwning returns a core that owns and runs one job.
+func newCoreOwning(job string) *Core {
+	c := newLoadedCore()
+	w := acceptJob(c, start, 1, job)
+	c.Written(start, w, Outcome{Fate: Applied, Version: 7})
 	c.Flush()
 	return c
 }
 
 func TestJobIsAcceptedOnceItIsStored(t *testing.T) {
 	is := is.New(t)
-	c := loaded()
-	w := insert(c, begin, 1, "j")
-	is.Equal(w.Expect, uint64(0)) // must not exist
+	c := newLoadedCore()
+	w := acceptJob(c, start, 1, "j")
+	is.Equal(w.Expect, uint64(0)) // the row must not exist
 	_, known := c.State("j")
 	is.True(!known)
 	c.Written(after(5), w, Outcome{Fate: Applied, Version: 7})
@@ -64,57 +65,57 @@
 	is.Equal(out.Answers, []Answer{{Request: 1, Kind: errkind.OK}})
 	is.Equal(out.Owns[0].Job, "j")
 	is.True(out.Owns[0].SafeAt.IsZero())
-	c.Accept(after(10), 2, "j", &Row{Queue: "q"}) // sent again
+	c.Accept(after(10), 2, "j", &Row{Queue: "q"}) // a repeated request
 	out = c.Flush()
 	is.Equal(out.Answers, []Answer{{Request: 2, Kind: errkind.OK}})
 	is.Equal(len(out.Writes), 0)
 }
 
-func TestRefusedWriteIsATruthfulRefusal(t *testing.T) {
+func TestRejectedInsertRefusesTheJob(t *testing.T) {
 	is := is.New(t)
-	c := loaded()
-	w := insert(c, begin, 1, "j")
+	c := newLoadedCore()
+	w := acceptJob(c, start, 1, "j")
 	c.Written(after(5), w, Outcome{Fate: NotDone})
 	is.Equal(c.Flush().Answers, []Answer{{Request: 1, Kind: errkind.StoreUnavailable}})
 	_, known := c.State("j")
 	is.True(!known)
 }
 
-func TestJobThatAnotherEntryHasAcceptedIsOneJob(t *testing.T) {
+func TestJobAcceptedByAnotherEntryIsNotRunTwice(t *testing.T) {
 	is := is.New(t)
-	c := loaded()
-	w := insert(c, begin, 1, "j")
-	c.Written(after(5), w, Outcome{Fate: Conflict, Current: theirs("j", 4)})
+	c := newLoadedCore()
+	w := acceptJob(c, start, 1, "j")
+	c.Written(after(5), w, Outcome{Fate: Conflict, Current: rowOfPeer("j", 4)})
 	out := c.Flush()
 	is.Equal(out.Answers, []Answer{{Request: 1, Kind: errkind.OK}})
 	is.Equal(len(out.Owns), 0)
 }
 
-func TestOwnWriteIsKnownAfterALostAnswer(t *testing.T) {
+func TestOwnWriteIsRecognisedAfterALostAnswer(t *testing.T) {
 	is := is.New(t)
-	c := loaded()
-	w := insert(c, begin, 1, "j")
+	c := newLoadedCore()
+	w := acceptJob(c, start, 1, "j")
 	c.Written(after(5), w, Outcome{Fate: Conflict, Current: Stored{Job: "j", Row: w.Row, Version: 9}})
 	out := c.Flush()
 	is.Equal(out.Answers, []Answer{{Request: 1, Kind: errkind.OK}})
 	is.Equal(len(out.Owns), 1)
 }
 
-func TestBoundsOfAcceptance(t *testing.T) {
+func TestAcceptRefusesBeforeLoadAndAboveMaxOpen(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
-	c.Accept(begin, 1, "j", &Row{Queue: "q"}) // the rows are not read yet
+	c.Accept(start, 1, "j", &Row{Queue: "q"}) // the rows are not read yet
 	is.Equal(c.Flush().Answers[0].Kind, errkind.StoreUnavailable)
-	c = loaded()
-	insert(c, begin, 1, "j1")
-	insert(c, begin, 2, "j2")
-	c.Accept(begin, 3, "j3", &Row{Queue: "q"})
+	c = newLoadedCore()
+	acceptJob(c, start, 1, "j1")
+	acceptJob(c, start, 2, "j2")
+	c.Accept(start, 3, "j3", &Row{Queue: "q"})
 	is.Equal(c.Flush().Answers, []Answer{{Request: 3, Kind: errkind.Overloaded}})
 }
 
-func TestRecordsAreWrittenOneAfterTheOther(t *testing.T) {
+func TestOneRecordIsWrittenAtATime(t *testing.T) {
 	is := is.New(t)
-	c := accepted("j")
+	c := newCoreOwning("j")
 	c.Record(after(10), batch.Record{Job: "j", Seq: 1, State: batch.JobRunning})
 	first := c.Flush().Writes[0]
 	is.Equal(first.Expect, uint64(7))
@@ -124,7 +125,7 @@
 	c.Written(after(15), first, Outcome{Fate: Applied, Version: 8})
 	out := c.Flush()
 	is.Equal(out.Stored, []Stores{{Job: "j", Seq: 1}})
-	is.Equal(out.Writes[0].Row.State, batch.JobDone) // the newest includes those before
+	is.Equal(out.Writes[0].Row.State, batch.JobDone) // the newest record includes the earlier ones
 	is.Equal(out.Writes[0].Expect, uint64(8))
 	state, _ := c.State("j")
 	is.Equal(state, batch.JobRunning) // shown as done only once that is stored
@@ -135,8 +136,8 @@
 
 func TestEntryThatLostAJobStopsIt(t *testing.T) {
 	is := is.New(t)
-	c := accepted("j")
-	taken := theirs("j", 9)
+	c := newCoreOwning("j")
+	taken := rowOfPeer("j", 9)
 	taken.Row.Epoch = 2
 	c.Learn(after(100), []Stored{taken}, after(90))
 	is.Equal(c.Flush().Disowns, []string{"j"})
@@ -146,7 +147,7 @@
 
 func TestCancelIsStoredAndStopsTheJob(t *testing.T) {
 	is := is.New(t)
-	c := accepted("j")
+	c := newCoreOwning("j")
 	c.Cancel(after(10), 5, "j")
 	w := c.Flush().Writes[0]
 	is.Equal(w.Row.State, batch.JobCancelled)
@@ -159,12 +160,12 @@
 	is.Equal(c.Flush().Answers, []Answer{{Request: 6, Kind: errkind.OK}, {Request: 7, Kind: errkind.NotFound}})
 }
 
-func TestSilentEntryIsTakenOverAfterItsOwnershipMustHaveEnded(t *testing.T) {
+func TestTakeoverFromSilentEntryWaitsForItsOwnershipToExpire(t *testing.T) {
 	is := is.New(t)
-	c := loaded(theirs("j", 4))
-	c.Peers(begin, []runs.Entry{other})
+	c := newLoadedCore(rowOfPeer("j", 4))
+	c.Peers(start, []runs.Entry{other})
 	c.Tick(after(1000))
-	is.Equal(len(c.Flush().Writes), 0) // heard a moment ago
+	is.Equal(len(c.Flush().Writes), 0) // heard within SilentAfter
 	c.Tick(after(3000))
 	w := c.Flush().Writes[0]
 	is.Equal(w.Row.Owner, self)
@@ -174,12 +175,12 @@
 	is.Equal(out.Owns[0].SafeAt, after(3005).Add(6*time.Second)) // OwnFor and RunsOver
 }
 
-func TestProcessThatWasReplacedIsTakenOverSooner(t *testing.T) {
+func TestTakeoverFromReplacedProcessWaitsForItsRunsOnly(t *testing.T) {
 	is := is.New(t)
-	c := loaded(theirs("j", 4))
-	c.Peers(begin, []runs.Entry{{Address: other.Address, Incarnation: 3}})
+	c := newLoadedCore(rowOfPeer("j", 4))
+	c.Peers(start, []runs.Entry{{Address: other.Address, Incarnation: 3}})
 	var w Write
-	for ms := 200; w.Row == nil && ms < 4000; ms += 200 { // whoever comes first in the job's order
+	for ms := 200; w.Row == nil && ms < 4000; ms += 200 { // the delay depends on the takeover rank
 		c.Peers(after(ms), []runs.Entry{{Address: other.Address, Incarnation: 3}})
 		c.Learn(after(ms), nil, after(ms))
 		c.Tick(after(ms))
@@ -191,16 +192,16 @@
 	is.Equal(c.Flush().Owns[0].SafeAt, after(4000).Add(time.Second)) // RunsOver alone
 }
 
-func TestNothingIsTakenOverWithoutAConfirmation(t *testing.T) {
+func TestNoTakeoverWithoutConfirmedOwnership(t *testing.T) {
 	is := is.New(t)
-	c := loaded(theirs("j", 4))
-	c.Tick(after(6000)) // the store was last heard 6 s ago
+	c := newLoadedCore(rowOfPeer("j", 4))
+	c.Tick(after(6000)) // the last poll was sent 6 s ago, which is beyond OwnFor
 	is.Equal(len(c.Flush().Writes), 0)
 }
 
-func TestGivenUpJobGoesOnOnceOwnershipIsConfirmed(t *testing.T) {
+func TestStoppedJobRestartsOnceOwnershipIsConfirmed(t *testing.T) {
 	is := is.New(t)
-	c := accepted("j")
+	c := newCoreOwning("j")
 	c.GaveUp(after(5000), "j")
 	c.Tick(after(5200))
 	is.Equal(len(c.Flush().Owns), 0)
@@ -208,42 +209,42 @@
 	is.Equal(c.Flush().Owns[0].SafeAt, after(6000).Add(time.Second))
 }
 
-func TestUnknownJobIsSettledByALookAfterTheQuestion(t *testing.T) {
+func TestUnknownJobIsResolvedByAPollSentAfterTheQuestion(t *testing.T) {
 	is := is.New(t)
-	c := loaded()
+	c := newLoadedCore()
 	end := runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, How: runs.Done}
 	noted, void := c.Settle(after(100), end)
-	is.True(!noted && !void) // the job may have been accepted elsewhere since
+	is.True(!noted && !void) // another entry may have accepted the job meanwhile
 	c.Learn(after(200), nil, after(90))
 	noted, _ = c.Settle(after(210), end)
-	is.True(!noted) // that look was sent before the question
+	is.True(!noted) // that poll was sent before the question
 	c.Learn(after(300), nil, after(250))
 	noted, _ = c.Settle(after(310), end)
 	is.True(noted)
-	end.Key.Task = "j.0.0.1" // what was found holds for all tasks of the job
+	end.Key.Task = "j.0.0.1" // the finding holds for all tasks of the job
 	noted, _ = c.Settle(after(320), end)
 	is.True(noted)
 }
 
-func TestEndOfAnEndedJobIsVoidUnlessItCounted(t *testing.T) {
+func TestEndOfAnEndedJobIsVoidUnlessItCompletedTheTask(t *testing.T) {
 	is := is.New(t)
-	done := theirs("j", 4)
+	done := rowOfPeer("j", 4)
 	done.Row.State = batch.JobDone
 	done.Row.Progress = []batch.TaskProgress{{Done: true, Run: 2}}
-	c := loaded(done)
-	noted, void := c.Settle(begin, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 2}, How: runs.Done})
+	c := newLoadedCore(done)
+	noted, void := c.Settle(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 2}, How: runs.Done})
 	is.True(noted && !void)
-	noted, void = c.Settle(begin, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, How: runs.Done})
-	is.True(!noted && void) // the task was started again after it
-	noted, void = c.Settle(begin, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, How: runs.Stopped})
+	noted, void = c.Settle(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, How: runs.Done})
+	is.True(!noted && void) // another run completed the task
+	noted, void = c.Settle(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, How: runs.Stopped})
 	is.True(noted && !void)
 }
 
-func TestRowsOfEndedJobsAreRemovedInTheEnd(t *testing.T) {
+func TestRowsOfEndedJobsAreRemovedAfterRetention(t *testing.T) {
 	is := is.New(t)
-	done := theirs("j", 4)
+	done := rowOfPeer("j", 4)
 	done.Row.State = batch.JobDone
-	c := loaded(done)
+	c := newLoadedCore(done)
 	c.Tick(after(30_000))
 	is.Equal(len(c.Flush().Writes), 0)
 	c.Tick(after(70_000))
@@ -254,7 +255,7 @@
 	is.True(!known)
 }
 
-func TestRowSurvivesItsCoding(t *testing.T) {
+func TestRowRoundTrip(t *testing.T) {
 	is := is.New(t)
 	row := &Row{
 		Queue: "q", Owner: self, Epoch: 3, State: batch.JobRunning, Writer: 1, Write: 9, Spec: "x",
--- a/core/ledger/row.go
+++ b/core/ledger/row.go
@@ -8,78 +8,78 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Row is a durable job as the store keeps it.
+// Row is the stored content of a durable job.
 type Row struct {
 	Queue string     `cbor:"1,keyasint"`
 	Owner runs.Entry `cbor:"2,keyasint"`
-	// Epoch counts the owners.
+	// Epoch counts the changes of the owner; the first owner has epoch 1.
 	Epoch uint64         `cbor:"3,keyasint"`
 	State batch.JobState `cbor:"4,keyasint"`
-	// Writer and Write name the write that made this row, so that its writer knows
-	// it again after a lost answer.
+	// Writer is the incarnation of the entry that has written this row, Write the number of that
+	// write. They let the writer recognise its own row after the answer to the write was lost.
 	Writer uint64 `cbor:"5,keyasint"`
 	Write  uint64 `cbor:"6,keyasint"`
-	// Spec and Steps are dropped once the job has ended.
+	// Spec and Steps are empty once the job has ended.
 	Spec  string       `cbor:"7,keyasint,omitempty"`
 	Steps []batch.Step `cbor:"8,keyasint,omitempty"`
-	// Progress of an ended job tells which run of each task counted.
+	// Progress tells, once the job has ended, which run completed each task.
 	Progress []batch.TaskProgress `cbor:"9,keyasint,omitempty"`
 }
 
-// Encode returns the row as it is stored.
+// Encode returns the CBOR encoding of r, as it is stored.
 func (r *Row) Encode() ([]byte, error) {
 	raw, err := cbor.Marshal(r)
-	return raw, eris.Wrap(err, "encode job")
+	return raw, eris.Wrap(err, "encode row of durable job")
 }
 
-// Decode reads a stored row.
+// Decode decodes a stored row.
 func Decode(raw []byte) (*Row, error) {
 	r := new(Row)
-	return r, eris.Wrap(cbor.Unmarshal(raw, r), "decode job")
+	return r, eris.Wrap(cbor.Unmarshal(raw, r), "decode row of durable job")
 }
 
-// Stored is a row with its place in the store.
+// Stored is a row together with its key and version in the store.
 type Stored struct {
 	Job string
 	// Row is nil if the row was removed.
 	Row *Row
-	// Version is the store's, which rises with each change; 0 for a row that does
-	// not exist.
+	// Version is the version that the store gives the row; it rises with each change. It is 0 if
+	// the row does not exist.
 	Version uint64
 }
 
-// Write changes a row if it still has a version.
+// Write is a conditional change of a row.
 type Write struct {
 	Job string
-	// Expect is the version that the row must have; 0 if it must not exist.
+	// Expect is the version that the row must have; 0 if the row must not exist.
 	Expect uint64
 	// Row is the new content; nil removes the row.
 	Row *Row
-	// Urgent writes have somebody waiting for them: they are given up if the store
-	// refuses them. Others are repeated.
+	// Urgent is set if a request waits for the write. An urgent write that the store rejects
+	// several times fails; all others are repeated until they are carried out or meet a conflict.
 	Urgent bool
 	id     uint64
 	seq    uint64
 }
 
-// Fate is what became of a write.
+// Fate is the status of a write.
 type Fate uint8
 
-// Fates.
+// Statuses of a write.
 const (
-	// Applied: the write was carried out.
+	// Applied means that the write was carried out.
 	Applied Fate = iota + 1
-	// Conflict: the row had another version; nothing was changed.
+	// Conflict means that the row has another version than expected; nothing was changed.
 	Conflict
-	// NotDone: the store refused the write; nothing was or will be changed.
+	// NotDone means that the store has rejected the write; nothing was changed, nor will be later.
 	NotDone
 )
 
-// Outcome is what became of a write.
+// Outcome is the result of a write.
 type Outcome struct {
 	Fate Fate
-	// Version is the row's new one if the write was applied.
+	// Version is the new version of the row if the write was applied.
 	Version uint64
-	// Current is the row that the write met if it conflicted.
+	// Current is the row that the write has met if there was a conflict.
 	Current Stored
 }
--- a/core/ledger/write.go
+++ b/core/ledger/write.go
@@ -7,84 +7,85 @@
 	"peridotpick.example/core/batch"
 )
 
-// write sends a new content of a job's row.
-func (c *Core) write(j *job, row Row, seq uint64, urgent bool) {
-	c.lastWrite++
+// sendWrite sends a write of a job's row. seq is the number of the record that the row contains; 0
+// if it contains no new one. Rows of ended jobs are stored without their specification.
+func (c *Core) sendWrite(j *job, row Row, seq uint64, urgent bool) {
+	c.lastWriteID++
 	row.Writer = c.settings.Self.Incarnation
-	row.Write = c.lastWrite
+	row.Write = c.lastWriteID
 	if row.State.Ended() {
 		row.Spec, row.Steps = "", nil
 	}
-	w := Write{Job: j.name, Expect: j.version, Row: &row, Urgent: urgent, id: c.lastWrite, seq: seq}
-	j.writing = &w
+	w := Write{Job: j.name, Expect: j.version, Row: &row, Urgent: urgent, id: c.lastWriteID, seq: seq}
+	j.pendingWrite = &w
 	c.out.Writes = append(c.out.Writes, w)
 }
 
-// next sends the most important change that a job waits for. One write of a job is
-// under way at a time, since the next one depends on its version.
-func (c *Core) next(j *job) {
-	if j.writing != nil || j.version == 0 {
+// sendNextWrite sends the most urgent pending change of a job. There is at most one write of a job
+// in flight, because each write depends on the version that the previous one has made.
+func (c *Core) sendNextWrite(j *job) {
+	if j.pendingWrite != nil || j.version == 0 {
 		return
 	}
 	row := *j.row
 	switch {
 	case row.State.Ended():
 		c.answerCancels(j)
-	case len(j.cancelling) > 0:
+	case len(j.cancelRequests) > 0:
 		row.State = batch.JobCancelled
-		c.write(j, row, 0, true)
-	case j.record != nil && c.mine(j):
-		row.State = j.record.State
-		row.Progress = j.record.Progress
-		c.write(j, row, j.record.Seq, false)
-		j.record = nil
+		c.sendWrite(j, row, 0, true)
+	case j.pendingRecord != nil && c.isOwned(j):
+		row.State = j.pendingRecord.State
+		row.Progress = j.pendingRecord.Progress
+		c.sendWrite(j, row, j.pendingRecord.Seq, false)
+		j.pendingRecord = nil
 	}
 }
 
-// answerCancels answers those who wait for the end of a job that has ended.
+// answerCancels answers the requests to cancel a job that has ended.
 func (c *Core) answerCancels(j *job) {
 	kind := errkind.NotFound
 	if j.row.State == batch.JobCancelled {
 		kind = errkind.OK
 	}
-	for _, id := range j.cancelling {
+	for _, id := range j.cancelRequests {
 		c.answer(id, kind)
 	}
-	j.cancelling = nil
+	j.cancelRequests = nil
 }
 
-// Written handles what became of a write.
+// Written handles the result of a write.
 func (c *Core) Written(now time.Time, w Write, o Outcome) {
 	c.now = now
 	j := c.jobs[w.Job]
-	if j == nil || j.writing == nil || j.writing.id != w.id {
-		return // the changes have shown it already
+	if j == nil || j.pendingWrite == nil || j.pendingWrite.id != w.id {
+		return // the changes have already shown the result
 	}
-	if o.Fate == Conflict && o.Current.Row != nil && c.made(w, o.Current.Row) {
+	if o.Fate == Conflict && o.Current.Row != nil && c.isFromWrite(w, o.Current.Row) {
 		o = Outcome{Fate: Applied, Version: o.Current.Version}
 	}
 	switch o.Fate {
 	case Applied:
-		c.applied(j, w, o.Version)
+		c.handleApplied(j, w, o.Version)
 	case Conflict:
-		j.writing = nil
-		c.conflicted(j, w, o.Current)
+		j.pendingWrite = nil
+		c.handleConflict(j, w, o.Current)
 	case NotDone:
-		j.writing = nil
-		c.notDone(j, w)
+		j.pendingWrite = nil
+		c.handleRejected(j, w)
 	}
 }
 
-// made reports whether a row is that of a write.
-func (c *Core) made(w Write, row *Row) bool {
+// isFromWrite reports whether a row was stored by a write.
+func (c *Core) isFromWrite(w Write, row *Row) bool {
 	return w.Row != nil && row.Writer == w.Row.Writer && row.Write == w.Row.Write
 }
 
-// applied handles that a write is in the store.
-func (c *Core) applied(j *job, w Write, version uint64) {
-	j.writing = nil
+// handleApplied handles a write that the store has carried out.
+func (c *Core) handleApplied(j *job, w Write, version uint64) {
+	j.pendingWrite = nil
 	if w.Row == nil {
-		c.drop(j)
+		c.removeJob(j)
 		return
 	}
 	before := j.row
@@ -96,103 +97,104 @@
 	}
 	switch {
 	case inserted:
-		c.inserted(j)
+		c.handleInserted(j)
 	case before.Epoch != w.Row.Epoch:
-		c.note(j, "taken over", "")
-		j.wanted = true
-		c.handOver(j)
+		c.logDecision(j, "taken over", "")
+		j.needsStart = true
+		c.startIfConfirmed(j)
 	}
-	c.follow(j)
+	c.handleRowChange(j)
 }
 
-// inserted answers those who handed a job in, and has it run.
-func (c *Core) inserted(j *job) {
-	for _, id := range j.inserting {
+// handleInserted handles that the first row of a job is stored: the job is accepted and is to run.
+func (c *Core) handleInserted(j *job) {
+	for _, id := range j.insertRequests {
 		c.answer(id, errkind.OK)
 	}
-	j.inserting = nil
-	c.note(j, "accept", "")
-	j.wanted = true
-	c.handOver(j)
+	j.insertRequests = nil
+	c.logDecision(j, "accept", "")
+	j.needsStart = true
+	c.startIfConfirmed(j)
 }
 
-// handOver has the entry run a job as soon as its ownership is confirmed.
-func (c *Core) handOver(j *job) {
-	if !j.wanted || !c.confirmed() || !c.mine(j) || j.row.State.Ended() {
+// startIfConfirmed hands a job to the entry's core if it still has to be started and its ownership
+// is confirmed.
+func (c *Core) startIfConfirmed(j *job) {
+	if !j.needsStart || !c.isConfirmed() || !c.isOwned(j) || j.row.State.Ended() {
 		return
 	}
 	own := Own{Job: j.name, Row: j.row}
-	if j.safeIn > 0 {
-		own.SafeAt = c.now.Add(j.safeIn)
+	if j.startDelay > 0 {
+		own.SafeAt = c.now.Add(j.startDelay)
 	}
-	j.wanted = false
-	j.safeIn = 0
+	j.needsStart = false
+	j.startDelay = 0
 	j.running = true
 	c.out.Owns = append(c.out.Owns, own)
 }
 
-// follow acts on the present content of a job's row.
-func (c *Core) follow(j *job) {
-	c.sort(j)
+// handleRowChange acts on a new content of a job's row.
+func (c *Core) handleRowChange(j *job) {
+	c.updateActive(j)
 	switch {
-	case j.running && !c.mine(j):
+	case j.running && !c.isOwned(j):
 		j.running = false
-		j.record = nil
-		c.note(j, "taken by another entry", j.row.Owner.Address)
+		j.pendingRecord = nil
+		c.logDecision(j, "taken by another entry", j.row.Owner.Address)
 		c.out.Disowns = append(c.out.Disowns, j.name)
 	case j.running && j.row.State == batch.JobCancelled:
 		j.running = false
-		j.record = nil
+		j.pendingRecord = nil
 		c.out.Cancelled = append(c.out.Cancelled, j.name)
 	case j.row.State.Ended():
 		j.running = false
 	}
 	if j.row.State.Ended() {
-		j.wanted = false
+		j.needsStart = false
 		c.answerCancels(j)
 	}
-	c.next(j)
+	c.sendNextWrite(j)
 }
 
-// conflicted handles that a write met a row it did not expect.
-func (c *Core) conflicted(j *job, w Write, current Stored) {
+// handleConflict handles a write that has met another version of the row than it expected.
+func (c *Core) handleConflict(j *job, w Write, current Stored) {
 	if current.Row == nil {
-		// Removed, after its state was kept for long enough.
+		// The row was removed after its retention.
 		c.answerCancels(j)
-		c.drop(j)
+		c.removeJob(j)
 		return
 	}
-	for _, id := range j.inserting {
-		c.answer(id, errkind.OK) // another entry has accepted it
+	for _, id := range j.insertRequests {
+		c.answer(id, errkind.OK) // another entry has accepted the same job
 	}
-	j.inserting = nil
-	if !c.mine(j) {
-		j.safeIn = 0 // it was meant for a takeover that another change forestalled
+	j.insertRequests = nil
+	if !c.isOwned(j) {
+		j.startDelay = 0 // the delay belongs to a takeover that another entry's write has forestalled
 	}
-	if w.seq > 0 && j.record == nil && w.Row.Owner == current.Row.Owner && !current.Row.State.Ended() {
-		j.record = &batch.Record{Job: j.name, Seq: w.seq, State: w.Row.State, Progress: w.Row.Progress}
+	if w.seq > 0 && j.pendingRecord == nil && w.Row.Owner == current.Row.Owner && !current.Row.State.Ended() {
+		j.pendingRecord = &batch.Record{Job: j.name, Seq: w.seq, State: w.Row.State, Progress: w.Row.Progress}
 	}
 	if current.Version > j.version {
 		j.row = current.Row
 		j.version = current.Version
 	}
-	c.follow(j)
+	c.handleRowChange(j)
 }
 
-// notDone handles that the store has refused a write.
-func (c *Core) notDone(j *job, w Write) {
-	for _, id := range j.inserting {
+// handleRejected handles a write that the store has rejected.
+func (c *Core) handleRejected(j *job, w Write) {
+	for _, id := range j.insertRequests {
 		c.refuse(id, j.name, w.Row.Queue, errkind.StoreUnavailable, "the store refuses writes")
 	}
-	for _, id := range j.cancelling {
+	for _, id := range j.cancelRequests {
 		c.answer(id, errkind.StoreUnavailable)
 	}
-	j.inserting, j.cancelling = nil, nil
+	j.insertRequests, j.cancelRequests = nil, nil
 	if j.version == 0 {
-		c.drop(j)
+		c.removeJob(j)
 		return
 	}
-	if w.seq > 0 && j.record == nil {
-		j.record = &batch.Record{Job: j.name, Seq: w.seq, State: w.Row.State, Progress: w.Row.Progress}
+	if w.seq > 0 && j.pendingRecord == nil {
+		j.pendingRecord = &batch.Record{Job: j.name, Seq: w.seq, State: w.Row.State, Progress: w.Row.Progress}
 	}
 }
