--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -1,23 +1,23 @@
-// Package membership keeps one entry's view of which entries are alive.
+// Package membership keeps one entry's view of which entries are alive, by gossip.
 //
-// Entries exchange their views with a few neighbours only (package subset). A view that
-// does not change costs one short message a beat and neighbour, whatever the number of
-// entries: a message carries a digest of the view, the records that have changed, and
-// all records only where two digests stay different.
+// Each entry exchanges its view with a few neighbours only (package subset). A message carries a
+// digest of the view and the records that have changed. All records are sent only if two digests
+// stay different. While nothing changes, an entry therefore sends one short message per interval
+// and neighbour, whatever the number of entries.
 //
-// What is said of an address is ordered by a serial number that only the entry at that
-// address raises. Rules:
-//   - An entry whose neighbour has lost it is said to be gone. One that hears so of
-//     itself, or hears of a former process at its address, raises its serial number:
-//     its word outranks theirs.
+// A record (runs.Member) states whether the entry at an address is alive. Records of the same
+// address are ordered by a serial number that only the entry at that address raises:
+//   - An entry that loses its gossip stream with a neighbour declares the neighbour gone. An entry
+//     that receives such a record about itself, or a record of a previous process at its address,
+//     publishes a record with a higher serial number, which outranks the other one.
 //   - At the same serial number, "gone" outranks "alive".
-//   - Entries that are gone are remembered for a while, so that the late word of another
-//     entry does not bring them back.
+//   - Records of entries that are gone are kept for goneRetention, so that an older record from
+//     another entry does not bring them back.
 //
-// An entry that was cut off and is said to be gone by all is back as soon as one exchange
-// reaches it.
+// An entry that was partitioned and declared gone by all others is back as soon as it exchanges
+// views with one of them.
 //
-// The package is pure: events and time go in, changes come out.
+// The package is pure: events and the current time are its input, changes are its result.
 package membership
 
 import (
@@ -31,15 +31,15 @@
 	"peridotpick.example/wire/runs"
 )
 
-// remember is how long entries that are gone are remembered: far longer than a message
-// takes to all entries.
-const remember = 30 * time.Second
+// goneRetention is how long the record of an entry that is gone is kept. It is far longer than a
+// message takes to reach all entries.
+const goneRetention = 30 * time.Second
 
-// View is one entry's view.
+// View is the membership view of one entry.
 type View struct {
 	self    runs.Member
 	members ordered.Map[string, *member]
-	// digest is of the members that are alive, this one included.
+	// digest is the XOR of the fingerprints of the live members, this entry included.
 	digest uint64
 	alive  int
 }
@@ -50,37 +50,37 @@
 	goneAt time.Time
 }
 
-// Change is what an event has changed in the view.
+// Change is the effect of an event on the view.
 type Change struct {
-	// Records are to be passed on.
+	// Records are the records to pass on to the neighbours.
 	Records []runs.Member
-	// Joined are processes that were not known before or say something new of themselves,
-	// Gone those that are gone now.
+	// Joined are the entries that are new or that have changed their own record, Gone the entries
+	// that are gone since this event.
 	Joined, Gone []runs.Entry
 }
 
-// New returns the view of an entry that knows no others.
+// New returns the view of an entry that knows no other entry.
 func New(self runs.Entry) *View {
 	v := &View{self: runs.Member{Entry: self, Serial: 1}, alive: 1}
 	v.digest = fingerprint(v.self)
 	return v
 }
 
-// Self returns what this entry says of itself.
+// Self returns the record of this entry.
 func (v *View) Self() runs.Member { return v.self }
 
-// SetShort says whether this entry has too few agents.
+// SetShort sets whether this entry is short of agents.
 func (v *View) SetShort(short bool) Change {
 	if v.self.Entry.Short == short {
 		return Change{}
 	}
 	self := v.self
 	self.Entry.Short = short
-	return v.raise(self, v.self.Serial)
+	return v.updateSelf(self, v.self.Serial)
 }
 
-// raise changes what this entry says of itself, over a serial number.
-func (v *View) raise(self runs.Member, above uint64) Change {
+// updateSelf replaces the record of this entry and gives it the serial number above + 1.
+func (v *View) updateSelf(self runs.Member, above uint64) Change {
 	v.digest ^= fingerprint(v.self)
 	v.self = self
 	v.self.Serial = above + 1
@@ -88,25 +88,26 @@
 	return Change{Records: []runs.Member{v.self}}
 }
 
-// Digest tells apart views of other members.
+// Digest returns the digest of the live members. Views with the same live members have the same
+// digest, others have different ones.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Len returns the number of entries that are alive, this one included.
+// Len returns the number of live entries, this one included.
 func (v *View) Len() int { return v.alive }
 
-// Gone reports whether an entry is taken to be gone.
+// Gone reports whether an entry is known and gone.
 func (v *View) Gone(address string) bool {
 	m := v.members.Get(address)
 	return m != nil && m.record.Gone
 }
 
-// Lives reports whether an entry is known and alive.
+// Lives reports whether another entry is known and alive.
 func (v *View) Lives(address string) bool {
 	m := v.members.Get(address)
 	return m != nil && !m.record.Gone
 }
 
-// Alive returns the entries that are alive, this one first.
+// Alive returns the live entries, this one first.
 func (v *View) Alive() []runs.Entry {
 	list := make([]runs.Entry, 0, v.alive)
 	list = append(list, v.self.Entry)
@@ -118,7 +119,7 @@
 	return list
 }
 
-// Records returns all that is known, entries that are gone included.
+// Records returns all records, this entry's first, those of entries that are gone included.
 func (v *View) Records() []runs.Member {
 	list := make([]runs.Member, 0, v.members.Len()+1)
 	list = append(list, v.self)
@@ -128,33 +129,34 @@
 	return list
 }
 
-// Hear takes records from another entry.
+// Hear merges records that another entry has sent.
 func (v *View) Hear(now time.Time, records []runs.Member) Change {
 	var ch Change
 	for _, r := range records {
 		if r.Entry.Address == v.self.Entry.Address {
-			v.hearOfSelf(r, &ch)
+			v.applySelfRecord(r, &ch)
 		} else {
-			v.take(now, r, &ch)
+			v.applyRecord(now, r, &ch)
 		}
 	}
 	return ch
 }
 
-// hearOfSelf answers word of this address that would outrank this process.
-func (v *View) hearOfSelf(r runs.Member, ch *Change) {
+// applySelfRecord handles a record of this entry's address: if it outranks this entry's own record
+// and differs from it, this entry publishes a newer one.
+func (v *View) applySelfRecord(r runs.Member, ch *Change) {
 	same := r.Entry.Incarnation == v.self.Entry.Incarnation && !r.Gone
 	if r.Serial < v.self.Serial || r.Serial == v.self.Serial && same {
 		return
 	}
-	ch.Records = append(ch.Records, v.raise(v.self, r.Serial).Records...)
+	ch.Records = append(ch.Records, v.updateSelf(v.self, r.Serial).Records...)
 }
 
-func (v *View) take(now time.Time, r runs.Member, ch *Change) {
+func (v *View) applyRecord(now time.Time, r runs.Member, ch *Change) {
 	m := v.members.Get(r.Entry.Address)
 	if m == nil {
 		if r.Gone {
-			return // nobody here counts on it
+			return // an unknown entry that is gone is of no interest
 		}
 		m = &member{record: runs.Member{Entry: runs.Entry{Address: r.Entry.Address}, Gone: true}}
 		v.members.Put(r.Entry.Address, m)
@@ -162,10 +164,10 @@
 	if !outranks(r, m.record) {
 		return
 	}
-	v.replace(now, m, r, ch)
+	v.replaceRecord(now, m, r, ch)
 }
 
-// outranks reports whether one record replaces another of the same address.
+// outranks reports whether record r replaces an older record of the same address.
 func outranks(r, old runs.Member) bool {
 	if r.Serial != old.Serial {
 		return r.Serial > old.Serial
@@ -173,7 +175,7 @@
 	return r.Gone && !old.Gone
 }
 
-func (v *View) replace(now time.Time, m *member, r runs.Member, ch *Change) {
+func (v *View) replaceRecord(now time.Time, m *member, r runs.Member, ch *Change) {
 	old := m.record
 	if !old.Gone {
 		v.digest ^= fingerprint(old)
@@ -193,7 +195,7 @@
 	}
 }
 
-// Lost says that an entry is gone, which this entry had an exchange with.
+// Lost declares an entry gone whose gossip stream to this entry was lost.
 func (v *View) Lost(now time.Time, address string) Change {
 	var ch Change
 	m := v.members.Get(address)
@@ -202,21 +204,20 @@
 	}
 	gone := m.record
 	gone.Gone = true
-	v.replace(now, m, gone, &ch)
+	v.replaceRecord(now, m, gone, &ch)
 	return ch
 }
 
-// Forget drops entries that have been gone for long.
+// Forget removes the records of entries that have been gone for longer than goneRetention.
 func (v *View) Forget(now time.Time) {
 	for address, m := range v.members.All() {
-		if m.record.Gone && now.Sub(m.goneAt) > remember {
+		if m.record.Gone && now.Sub(m.goneAt) > goneRetention {
 			v.members.Delete(address)
 		}
 	}
 }
 
-// Addresses returns the addresses of the entries that are alive, without this one, in
-// a fixed order.
+// Addresses returns the addresses of the other live entries in alphabetical order.
 func (v *View) Addresses() []string {
 	var list []string
 	for address, m := range v.members.All() {
@@ -228,15 +229,15 @@
 	return list
 }
 
-// fingerprint is the part of the digest that a member makes.
+// fingerprint returns the contribution of a record to the digest.
 func fingerprint(r runs.Member) uint64 {
 	var raw [16]byte
-	put(raw[:8], r.Serial)
-	put(raw[8:], r.Entry.Incarnation)
+	putUint64(raw[:8], r.Serial)
+	putUint64(raw[8:], r.Entry.Incarnation)
 	return xxh3.HashString(r.Entry.Address + string(raw[:]))
 }
 
-func put(raw []byte, x uint64) {
+func putUint64(raw []byte, x uint64) {
 	for i := range raw {
 		raw[i] = byte(x >> (8 * i))
 	}
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -12,7 +12,7 @@
 	"peridotpick.example/wire/runs"
 )
 
-var begin = time.Unix(1000, 0)
+var start = time.Unix(1000, 0)
 
 func entry(n int) runs.Entry {
 	return runs.Entry{Address: fmt.Sprintf("10.0.0.%d:7720", n), Incarnation: uint64(100 + n), DataCentre: "d"}
@@ -22,34 +22,34 @@
 	is := is.New(t)
 	v := New(entry(1))
 	alone := v.Digest()
-	ch := v.Hear(begin, []runs.Member{{Entry: entry(2), Serial: 1}})
+	ch := v.Hear(start, []runs.Member{{Entry: entry(2), Serial: 1}})
 	is.Equal(ch.Joined, []runs.Entry{entry(2)})
-	is.Equal(len(v.Hear(begin, []runs.Member{{Entry: entry(2), Serial: 1}}).Records), 0) // nothing new
+	is.Equal(len(v.Hear(start, []runs.Member{{Entry: entry(2), Serial: 1}}).Records), 0) // nothing new
 	is.Equal(v.Alive(), []runs.Entry{entry(1), entry(2)})
-	ch = v.Lost(begin, entry(2).Address)
+	ch = v.Lost(start, entry(2).Address)
 	is.Equal(ch.Gone, []runs.Entry{entry(2)})
 	is.Equal(v.Len(), 1)
 	is.Equal(v.Digest(), alone)
-	is.Equal(len(v.Hear(begin, []runs.Member{{Entry: entry(2), Serial: 1}}).Records), 0) // late word of another
-	is.Equal(len(v.Hear(begin, []runs.Member{{Entry: entry(2), Serial: 2}}).Joined), 1)
+	is.Equal(len(v.Hear(start, []runs.Member{{Entry: entry(2), Serial: 1}}).Records), 0) // an older record from another entry
+	is.Equal(len(v.Hear(start, []runs.Member{{Entry: entry(2), Serial: 2}}).Joined), 1)
 }
 
-func TestEntryThatIsSaidToBeGoneSetsItRight(t *testing.T) {
+func TestLiveEntryOutranksRecordThatItIsGone(t *testing.T) {
 	is := is.New(t)
 	v := New(entry(1))
-	ch := v.Hear(begin, []runs.Member{{Entry: entry(1), Serial: 1, Gone: true}})
+	ch := v.Hear(start, []runs.Member{{Entry: entry(1), Serial: 1, Gone: true}})
 	is.Equal(ch.Records, []runs.Member{{Entry: entry(1), Serial: 2}})
-	is.Equal(len(v.Hear(begin, []runs.Member{{Entry: entry(1), Serial: 1, Gone: true}}).Records), 0)
+	is.Equal(len(v.Hear(start, []runs.Member{{Entry: entry(1), Serial: 1, Gone: true}}).Records), 0)
 }
 
-func TestNewProcessOutranksTheFormerOneAtItsAddress(t *testing.T) {
+func TestNewProcessOutranksThePreviousOneAtItsAddress(t *testing.T) {
 	is := is.New(t)
-	former := runs.Member{Entry: runs.Entry{Address: entry(1).Address, Incarnation: 7}, Serial: 5}
+	previous := runs.Member{Entry: runs.Entry{Address: entry(1).Address, Incarnation: 7}, Serial: 5}
 	other := New(entry(2))
-	other.Hear(begin, []runs.Member{former})
+	other.Hear(start, []runs.Member{previous})
 	fresh := New(entry(1))
-	fresh.Hear(begin, other.Records())
-	ch := other.Hear(begin, fresh.Records())
+	fresh.Hear(start, other.Records())
+	ch := other.Hear(start, fresh.Records())
 	is.Equal(ch.Joined, []runs.Entry{entry(1)})
 	is.Equal(len(ch.Gone), 0)
 	is.Equal(other.Digest(), fresh.Digest())
@@ -58,37 +58,37 @@
 func TestGoneEntriesAreForgotten(t *testing.T) {
 	is := is.New(t)
 	v := New(entry(1))
-	v.Hear(begin, []runs.Member{{Entry: entry(2), Serial: 1}})
-	v.Lost(begin, entry(2).Address)
-	v.Forget(begin.Add(remember))
+	v.Hear(start, []runs.Member{{Entry: entry(2), Serial: 1}})
+	v.Lost(start, entry(2).Address)
+	v.Forget(start.Add(goneRetention))
 	is.Equal(len(v.Records()), 2)
-	v.Forget(begin.Add(remember + time.Second))
+	v.Forget(start.Add(goneRetention + time.Second))
 	is.Equal(len(v.Records()), 1)
-	is.Equal(len(v.Hear(begin, []runs.Member{{Entry: entry(2), Serial: 1, Gone: true}}).Records), 0) // not known: not of interest
+	is.Equal(len(v.Hear(start, []runs.Member{{Entry: entry(2), Serial: 1, Gone: true}}).Records), 0) // unknown and gone
 }
 
-func TestWordOfShortageReachesAll(t *testing.T) {
+func TestShortEntryIsAnnounced(t *testing.T) {
 	is := is.New(t)
 	v, other := New(entry(1)), New(entry(2))
-	other.Hear(begin, v.Records())
+	other.Hear(start, v.Records())
 	ch := v.SetShort(true)
 	is.Equal(len(v.SetShort(true).Records), 0)
-	joined := other.Hear(begin, ch.Records).Joined
+	joined := other.Hear(start, ch.Records).Joined
 	is.Equal(len(joined), 1)
 	is.True(joined[0].Short)
-	is.Equal(len(other.Hear(begin, v.SetShort(false).Records).Joined), 1)
+	is.Equal(len(other.Hear(start, v.SetShort(false).Records).Joined), 1)
 	is.True(!other.Alive()[1].Short)
 }
 
-// net is a number of views that exchange with their neighbours, in rounds.
-type net struct {
-	views map[string]*View
-	all   []string
-	cut   map[string]bool
+// network is a set of views that exchange their records with their neighbours in rounds.
+type network struct {
+	views       map[string]*View
+	all         []string
+	partitioned map[string]bool
 }
 
-func newNet(n int) *net {
-	w := &net{views: make(map[string]*View), cut: make(map[string]bool)}
+func newNetwork(n int) *network {
+	w := &network{views: make(map[string]*View), partitioned: make(map[string]bool)}
 	for i := range n {
 		w.views[entry(i).Address] = New(entry(i))
 		w.all = append(w.all, entry(i).Address)
@@ -96,31 +96,31 @@
 	return w
 }
 
-// round has each entry that is not cut off exchange with its neighbours among all.
-func (w *net) round() {
+// round has each entry that is not partitioned exchange its records with its neighbours.
+func (w *network) round() {
 	for _, a := range w.all {
 		for _, b := range subset.Neighbours(a, w.all) {
-			if w.cut[a] || w.cut[b] {
+			if w.partitioned[a] || w.partitioned[b] {
 				continue
 			}
 			x, y := w.views[a], w.views[b]
-			y.Hear(begin, x.Records())
-			x.Hear(begin, y.Records())
+			y.Hear(start, x.Records())
+			x.Hear(start, y.Records())
 		}
 	}
 }
 
-// TestViewsAgree: whatever is lost falsely, and in whatever order, all views agree on
-// who is alive after some rounds of exchanges.
-func TestViewsAgree(t *testing.T) {
+// TestViewsConverge checks that all views agree on the live entries after some rounds of gossip,
+// whichever live entries were wrongly declared gone before, and in whatever order.
+func TestViewsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 30).Draw(t, "entries")
-		w := newNet(n)
+		w := newNetwork(n)
 		w.round()
 		for range rapid.IntRange(0, 20).Draw(t, "losses") {
 			a := w.all[rapid.IntRange(0, n-1).Draw(t, "who")]
 			b := w.all[rapid.IntRange(0, n-1).Draw(t, "whom")]
-			w.views[a].Lost(begin, b)
+			w.views[a].Lost(start, b)
 			if rapid.Bool().Draw(t, "round") {
 				w.round()
 			}
@@ -136,25 +136,26 @@
 	})
 }
 
-// TestEntryThatWasCutOffIsBack: nobody counts on it while it is away, all do afterwards.
-func TestEntryThatWasCutOffIsBack(t *testing.T) {
+// TestEntryRejoinsAfterAPartition checks that a partitioned entry is gone from all other views, and
+// is back in all of them after the partition has ended.
+func TestEntryRejoinsAfterAPartition(t *testing.T) {
 	is := is.New(t)
-	w := newNet(20)
+	w := newNetwork(20)
 	for range 3 {
 		w.round()
 	}
 	away := w.all[7]
-	w.cut[away] = true
+	w.partitioned[away] = true
 	for _, a := range w.all {
 		if a != away {
-			w.views[a].Lost(begin, away)
-			w.views[away].Lost(begin, a)
+			w.views[a].Lost(start, away)
+			w.views[away].Lost(start, a)
 		}
 	}
 	w.round()
 	is.Equal(w.views[w.all[0]].Len(), 19)
 	is.Equal(w.views[away].Len(), 1)
-	w.cut[away] = false
+	w.partitioned[away] = false
 	for range 4 {
 		w.round()
 	}
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -1,17 +1,17 @@
-// Package registry decides what entries and agents read of the list of entries that the
-// platform's store keeps, and which of its rows are removed.
+// Package registry decides which rows of the platform's registry of entries are read by entries and
+// agents, and which rows are removed.
 //
-// The load it answers: in a fleet of hundreds of entries a list that is read whole by each
-// of them, and by each agent that has just started, costs the store the product of both,
-// most of all when everything has just come back. Rows lie in the order of the hashed
-// addresses, the ring of package subset. Whoever looks for others reads a bounded number of
-// rows from one place on: an agent a few from a place of its own, which know the rest; an
-// entry those that follow it on the ring, so that the reads of all entries together keep
-// the ring whole.
+// If every entry, and every agent that starts, read the whole registry, the load on the store would
+// grow with the product of their number and the number of rows, and would peak when the whole fleet
+// restarts. Reads are therefore bounded. The rows are ordered by the hashes of their addresses,
+// which form the ring of package subset, and a read returns a limited number of rows from a ring
+// position on. An agent reads a few rows from a position of its own; the entries found there tell
+// it of all others. An entry reads the rows that follow its own, so that the reads of all entries
+// together cover the ring.
 //
-// A row whose entry is gone is removed by the entry before it on the ring, after several
-// reads in which the row has not changed. An entry that was cut off from the others, and
-// finds its row missing, registers again.
+// A row whose entry is not alive is stale. It is removed by the nearest live entry before it on the
+// ring, once it has not changed for several reads. An entry that was partitioned, and finds its own
+// row missing, registers again.
 //
 // The package is pure.
 package registry
@@ -24,67 +24,70 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Rows that are read at a time.
+// Numbers of rows in one read.
 const (
-	// Few is what an agent without entries reads: one that lives tells it of all others.
+	// Few is the number of rows that an agent without links to entries reads: a single live entry
+	// tells it of all others.
 	Few = 3
-	// Followers is what an entry reads of those after it on the ring, itself included.
+	// Followers is the number of rows that an entry reads from its own position on, its own row
+	// included.
 	Followers = 16
 )
 
-// Row is an entry as it is registered.
+// Row is the registration of one entry.
 type Row struct {
 	Entry runs.Entry
-	// Version is the store's, which rises with each change of the row.
+	// Version is the version that the store gives the row; it rises with each change.
 	Version uint64
 }
 
-// Place is where an address lies on the ring.
+// Place returns the ring position of an address.
 func Place(address string) uint64 { return xxh3.HashString(address) }
 
-// Key is the key of an address's row.
+// Key returns the key of the row of an address.
 func Key(address string) string { return From(Place(address)) + "/" + address }
 
-// From is the first key from a place on.
+// From returns the first key at a ring position.
 func From(place uint64) string { return fmt.Sprintf("%016x", place) }
 
-// SearchPlace is where an agent reads at an attempt to find entries.
+// SearchPlace returns the ring position from which an agent reads at its given attempt to find
+// entries.
 func SearchPlace(agent string, attempt int) uint64 {
 	return xxh3.HashString(fmt.Sprintf("%s/%d", agent, attempt))
 }
 
-// staleReads is the number of reads in a row after which a row whose entry is not alive is
-// removed.
+// staleReads is the number of consecutive reads in which a row must be stale and unchanged before
+// it is removed.
 const staleReads = 3
 
-// Watch follows the rows after one entry.
+// Watch tracks the rows that follow one entry's own on the ring.
 type Watch struct {
 	self  runs.Entry
 	stale map[string]staleRow
 }
 
-// staleRow is a row whose entry was not alive at the last reads.
+// staleRow counts the consecutive reads in which a row was stale with the same version.
 type staleRow struct {
 	version uint64
 	reads   int
 }
 
-// NewWatch returns a watch for an entry that has read nothing.
+// NewWatch returns a Watch for an entry that has not read any rows.
 func NewWatch(self runs.Entry) *Watch { return &Watch{self: self} }
 
-// Read takes the rows from this entry's own place on. It returns those to remove, and
-// whether this entry has to register again.
-func (w *Watch) Read(rows []Row, alive func(address string) bool) (gone []Row, missing bool) {
+// Read takes the rows from this entry's own position on, in ring order. It returns the stale rows
+// to remove, and whether this entry's own row is missing, so that it has to register again.
+func (w *Watch) Read(rows []Row, alive func(address string) bool) (remove []Row, missing bool) {
 	stale := make(map[string]staleRow)
-	missing, mine := true, true
+	missing, responsible := true, true
 	for _, r := range rows {
 		address := r.Entry.Address
 		switch {
 		case address == w.self.Address:
 			missing = r.Entry.Incarnation != w.self.Incarnation
 		case alive(address):
-			mine = false // the rows after it are that entry's to remove
-		case mine:
+			responsible = false // that live entry removes the stale rows after it
+		case responsible:
 			s := w.stale[address]
 			if s.version != r.Version {
 				s = staleRow{version: r.Version}
@@ -92,10 +95,10 @@
 			s.reads++
 			stale[address] = s
 			if s.reads >= staleReads {
-				gone = append(gone, r)
+				remove = append(remove, r)
 			}
 		}
 	}
 	w.stale = stale
-	return gone, missing
+	return remove, missing
 }
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -10,22 +10,22 @@
 	"peridotpick.example/wire/runs"
 )
 
-// store keeps rows in the order of their keys.
-type store struct {
-	rows    map[string]Row
-	version uint64
-	read    int
+// fakeStore keeps the rows in the order of their keys and counts the rows that are read.
+type fakeStore struct {
+	rows     map[string]Row
+	version  uint64
+	rowsRead int
 }
 
-func newStore() *store { return &store{rows: make(map[string]Row)} }
+func newFakeStore() *fakeStore { return &fakeStore{rows: make(map[string]Row)} }
 
-func (s *store) register(e runs.Entry) {
+func (s *fakeStore) register(e runs.Entry) {
 	s.version++
 	s.rows[Key(e.Address)] = Row{Entry: e, Version: s.version}
 }
 
-// from reads rows from a place on, round the ring.
-func (s *store) from(place uint64, limit int) []Row {
+// readFrom returns up to limit rows from a ring position on, across the end of the ring.
+func (s *fakeStore) readFrom(place uint64, limit int) []Row {
 	keys := make([]string, 0, len(s.rows))
 	for k := range s.rows {
 		keys = append(keys, k)
@@ -36,7 +36,7 @@
 	for n := range min(limit, len(keys)) {
 		list = append(list, s.rows[keys[(at+n)%len(keys)]])
 	}
-	s.read += len(list)
+	s.rowsRead += len(list)
 	return list
 }
 
@@ -44,12 +44,12 @@
 	return runs.Entry{Address: fmt.Sprintf("10.0.%d.%d:7000", n/250, n%250), Incarnation: uint64(n + 1)}
 }
 
-// TestRowsEndWithTheirEntries: after many entries were replaced the registry has those that
-// live, and a little more.
-func TestRowsEndWithTheirEntries(t *testing.T) {
+// TestStaleRowsAreRemoved checks that the registry holds few stale rows, and all rows of live
+// entries, after many entries were replaced.
+func TestStaleRowsAreRemoved(t *testing.T) {
 	is := is.New(t)
 	const live, replaced = 60, 10_000
-	s := newStore()
+	s := newFakeStore()
 	alive := make(map[string]bool)
 	watches := make(map[string]*Watch)
 	join := func(n int) {
@@ -66,13 +66,13 @@
 		delete(alive, old.Address)
 		delete(watches, old.Address)
 		join(live + n)
-		if n%20 > 0 { // twenty are replaced between two reads
+		if n%20 > 0 { // 20 entries are replaced between two reads
 			continue
 		}
 		for address, w := range watches {
-			gone, missing := w.Read(s.from(Place(address), Followers), func(a string) bool { return alive[a] })
+			stale, missing := w.Read(s.readFrom(Place(address), Followers), func(a string) bool { return alive[a] })
 			is.True(!missing)
-			for _, r := range gone {
+			for _, r := range stale {
 				is.True(!alive[r.Entry.Address])
 				delete(s.rows, Key(r.Entry.Address))
 			}
@@ -85,30 +85,31 @@
 	}
 }
 
-// TestReadsAreBounded: what a node reads does not grow with the fleet.
+// TestReadsAreBounded checks that the number of rows in one read does not grow with the fleet.
 func TestReadsAreBounded(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{50, 200, 800} {
-		s := newStore()
+		s := newFakeStore()
 		for i := range n {
 			s.register(entryOf(i))
 		}
-		is.Equal(len(s.from(Place(entryOf(0).Address), Followers)), Followers)
-		is.Equal(len(s.from(SearchPlace("a", 1), Few)), Few)
-		is.Equal(s.read, Followers+Few)
+		is.Equal(len(s.readFrom(Place(entryOf(0).Address), Followers)), Followers)
+		is.Equal(len(s.readFrom(SearchPlace("a", 1), Few)), Few)
+		is.Equal(s.rowsRead, Followers+Few)
 	}
 }
 
-// TestAgentsStartAtAllEntriesAlike: none has many more of them than others.
-func TestAgentsStartAtAllEntriesAlike(t *testing.T) {
+// TestAgentsSearchAtEvenlySpreadPositions checks that no entry is found first by far more agents
+// than others are.
+func TestAgentsSearchAtEvenlySpreadPositions(t *testing.T) {
 	is := is.New(t)
-	s := newStore()
+	s := newFakeStore()
 	for i := range 184 {
 		s.register(entryOf(i))
 	}
 	asked := make(map[string]int)
 	for a := range 804 {
-		for _, r := range s.from(SearchPlace(fmt.Sprint("agent", a), 0), Few) {
+		for _, r := range s.readFrom(SearchPlace(fmt.Sprint("agent", a), 0), Few) {
 			asked[r.Entry.Address]++
 		}
 	}
@@ -124,13 +125,13 @@
 	self, other := entryOf(1), entryOf(2)
 	w := NewWatch(self)
 	dead := func(string) bool { return false }
-	for v := range uint64(10) { // it restarts all the time
-		gone, _ := w.Read([]Row{{self, 1}, {other, v}}, dead)
-		is.Equal(len(gone), 0)
+	for v := range uint64(10) { // the entry restarts between any two reads
+		stale, _ := w.Read([]Row{{self, 1}, {other, v}}, dead)
+		is.Equal(len(stale), 0)
 	}
 	for n := range staleReads {
-		gone, _ := w.Read([]Row{{self, 1}, {other, 9}}, dead)
-		is.Equal(len(gone) > 0, n >= staleReads-2)
+		stale, _ := w.Read([]Row{{self, 1}, {other, 9}}, dead)
+		is.Equal(len(stale) > 0, n >= staleReads-2)
 	}
 }
 
@@ -148,12 +149,13 @@
 	is.True(!missing)
 }
 
-// TestOneEntryRemovesARow: those further before it leave it to the nearest one.
-func TestOneEntryRemovesARow(t *testing.T) {
+// TestOnlyThePrecedingEntryRemovesAStaleRow checks that an entry leaves a stale row to a live entry
+// between itself and that row.
+func TestOnlyThePrecedingEntryRemovesAStaleRow(t *testing.T) {
 	is := is.New(t)
-	far, near, gone := entryOf(1), entryOf(2), entryOf(3)
-	rows := []Row{{far, 1}, {near, 2}, {gone, 3}}
-	alive := func(a string) bool { return a != gone.Address }
+	far, near, stale := entryOf(1), entryOf(2), entryOf(3)
+	rows := []Row{{far, 1}, {near, 2}, {stale, 3}}
+	alive := func(a string) bool { return a != stale.Address }
 	w := NewWatch(far)
 	for range 5 {
 		list, _ := w.Read(rows, alive)
--- a/core/subset/subset.go
+++ b/core/subset/subset.go
@@ -1,15 +1,14 @@
-// Package subset chooses the entries that an agent keeps links to, and the entries
-// that an entry exchanges its view of the others with.
+// Package subset chooses the entries that an agent keeps links to (subsetting), and the neighbours
+// that an entry exchanges its membership view with.
 //
-// The load it answers: a fleet in which every agent has a link to every entry has
-// as many links as the product of both, each with its own beats, news of load and
-// buffers. At 55 entries and 240 agents that is 13,200 links, and an entry's whole
-// processor on a calm day. With a bounded subset the cost of a node does not grow with
-// the fleet.
+// If every agent had a link to every entry, the number of links would be the product of both, each
+// with its own heartbeats, load updates and buffers. 55 entries and 240 agents would have 13,200
+// links, and an entry would spend its whole processor on them even at low load. With a subset of
+// fixed size the cost per instance does not grow with the fleet.
 //
-// All choices are made by rendezvous hashing over the entries that are known, without
-// any agreement: an entry that comes or goes changes the choice of few agents. A fleet
-// with fewer entries than the limit is linked completely.
+// Choices are made by rendezvous hashing over the known entries, without any coordination, so an
+// entry that joins or leaves changes the choices of few agents. In a fleet with no more entries
+// than the size of the subset, every agent is linked to all of them.
 //
 // The package is pure: the same input gives the same choice.
 package subset
@@ -24,46 +23,47 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Limits of an agent's links.
+// Limits of the subset of one agent.
 const (
-	// Total is the number of entries that an agent has links to. Fewer know the room
-	// that they share better, more find room further away. In bursts (emulator, large,
-	// scenario burst, two seeds) worth is 0.86 with four or six, 0.81 with ten, 0.74 with
-	// 16 and 0.60 with all 55.
+	// Total is the number of entries that an agent keeps links to. With fewer, the entries know the
+	// shared capacity of their agents better; with more, an entry finds free capacity on more
+	// workers. In simulated bursts of load, jobs earn 0.86 of their value with four or six entries,
+	// 0.81 with ten, 0.74 with 16 and 0.60 with all 55.
 	Total = 6
-	// Nearby is how many of them may be in the agent's own data centre, whose entries
-	// place most work here: no bytes cross a border then. The rest is left to other
-	// data centres, so that one with a burst of load reaches room elsewhere.
-	Nearby = 4
+	// MaxLocal is how many of them may be in the agent's own data centre. Those entries place most
+	// work on the agent, and no bytes cross between data centres then. The rest is in other data
+	// centres, so that entries in a data centre with a burst of load reach free capacity elsewhere.
+	MaxLocal = 4
 )
 
-// Adopted is how many entries of each drained data centre an agent elsewhere works with
-// at least. Their callers go on handing jobs to them, and two thirds of the agents that
-// they knew may give them no room any more.
-const Adopted = 2
+// MinPerDrainedDataCentre is the number of entries of each drained data centre that an agent
+// elsewhere has links to at least. Callers still send jobs to those entries, while two thirds of
+// the agents that they are linked to may take no more work.
+const MinPerDrainedDataCentre = 2
 
-// Choose returns the entries that an agent in a data centre works with, out of those
-// known, by rank, while some data centres are drained.
+// Choose returns the subset of the known entries that an agent in dataCentre keeps links to, while
+// the data centres in drained are drained.
 func Choose(agent, dataCentre string, known []runs.Entry, drained []string) []runs.Entry {
 	if len(known) <= Total {
 		return known
 	}
 	ranked := rank(agent, known)
-	chosen := own(dataCentre, ranked)
+	chosen := chooseByLocality(dataCentre, ranked)
 	for _, dc := range drained {
-		chosen = adopt(chosen, ranked, dc)
+		chosen = addDrained(chosen, ranked, dc)
 	}
 	return chosen
 }
 
-// adopt adds the entries of a data centre that are missing, by rank.
-func adopt(chosen, ranked []runs.Entry, dataCentre string) []runs.Entry {
-	there := 0
+// addDrained adds the best-ranked entries of a drained data centre, up to MinPerDrainedDataCentre,
+// where they are missing from chosen.
+func addDrained(chosen, ranked []runs.Entry, dataCentre string) []runs.Entry {
+	found := 0
 	for _, e := range ranked {
-		if e.DataCentre != dataCentre || there == Adopted {
+		if e.DataCentre != dataCentre || found == MinPerDrainedDataCentre {
 			continue
 		}
-		there++
+		found++
 		if !slices.Contains(chosen, e) {
 			chosen = append(chosen, e)
 		}
@@ -71,30 +71,31 @@
 	return chosen
 }
 
-// own returns the choice while no data centre is drained.
-func own(dataCentre string, ranked []runs.Entry) []runs.Entry {
-	var near, far []runs.Entry
+// chooseByLocality returns the subset while no data centre is drained: up to MaxLocal entries of
+// the agent's own data centre, and the rest from all others, each in the order of ranked.
+func chooseByLocality(dataCentre string, ranked []runs.Entry) []runs.Entry {
+	var local, remote []runs.Entry
 	for _, e := range ranked {
 		if e.DataCentre == dataCentre {
-			near = append(near, e)
+			local = append(local, e)
 		} else {
-			far = append(far, e)
+			remote = append(remote, e)
 		}
 	}
-	nearby := min(len(near), Nearby)
-	remote := min(len(far), Total-nearby)
-	nearby = min(len(near), Total-remote) // all others together may be fewer than their share
-	return append(slices.Clone(near[:nearby]), far[:remote]...)
+	localCount := min(len(local), MaxLocal)
+	remoteCount := min(len(remote), Total-localCount)
+	localCount = min(len(local), Total-remoteCount) // the other data centres may have too few entries for their share
+	return append(slices.Clone(local[:localCount]), remote[:remoteCount]...)
 }
 
-// OnDemand returns those of the entries which are short of agents that an agent works
-// with besides: no more than of its own choice. After a cut through the fleet many
-// entries may be short at once, and each agent would open links to all of them.
+// OnDemand returns the entries that an agent links to in addition to its subset, because they are
+// short of agents. They are at most Total: after a network partition many entries may be short at
+// once, and each agent would otherwise link to all of them.
 func OnDemand(agent string, short []runs.Entry) []runs.Entry {
 	return rank(agent, short)[:min(len(short), Total)]
 }
 
-// Ranked orders addresses by their rendezvous score for an agent.
+// Ranked returns addresses by their rendezvous score for an agent, the highest first.
 func Ranked(agent string, addresses []string) []string {
 	entries := make([]runs.Entry, 0, len(addresses))
 	for _, a := range addresses {
@@ -107,7 +108,7 @@
 	return ranked
 }
 
-// rank orders entries by their rendezvous score for an agent, the highest first.
+// rank returns entries by their rendezvous score for an agent, the highest first.
 func rank(agent string, known []runs.Entry) []runs.Entry {
 	type scored struct {
 		entry runs.Entry
@@ -115,7 +116,7 @@
 	}
 	list := make([]scored, 0, len(known))
 	for _, e := range known {
-		list = append(list, scored{e, score(agent, e.Address)})
+		list = append(list, scored{e, rendezvousScore(agent, e.Address)})
 	}
 	sort.Slice(list, func(i, k int) bool { return list[i].score > list[k].score })
 	ranked := make([]runs.Entry, 0, len(list))
@@ -125,12 +126,12 @@
 	return ranked
 }
 
-func score(agent, address string) uint64 { return xxh3.HashString(agent + "\x00" + address) }
+func rendezvousScore(agent, address string) uint64 { return xxh3.HashString(agent + "\x00" + address) }
 
-// Neighbours returns the addresses that an entry opens exchanges with, out of those
-// known, itself left out: on the ring of all hashed addresses those 1, 2, 4, ... places
-// after it. Each entry has O(log n) of them, any two are O(log n) exchanges apart, and
-// a ring with a few gaps stays connected.
+// Neighbours returns the addresses that an entry opens gossip streams to. On the ring of all known
+// addresses, ordered by their hashes, they are those 1, 2, 4, ... positions after self. Each entry
+// has O(log n) neighbours, any two entries are O(log n) hops apart, and a ring with a few gaps
+// stays connected.
 func Neighbours(self string, known []string) []string {
 	ring := append(slices.Clone(known), self)
 	sort.Slice(ring, func(i, k int) bool { return ringBefore(ring[i], ring[k]) })
--- a/core/subset/subset_test.go
+++ b/core/subset/subset_test.go
@@ -10,7 +10,7 @@
 	"peridotpick.example/wire/runs"
 )
 
-// fleet returns entries spread evenly over data centres.
+// fleet returns entries spread evenly over a number of data centres.
 func fleet(entries, centres int) []runs.Entry {
 	list := make([]runs.Entry, 0, entries)
 	for i := range entries {
@@ -28,24 +28,25 @@
 	}
 }
 
-func TestOwnDataCentreComesFirstAndOthersKeepTheirPart(t *testing.T) {
+func TestLocalEntriesArePreferredUpToMaxLocal(t *testing.T) {
 	is := is.New(t)
 	for i := range 40 {
-		near := 0
+		local := 0
 		chosen := Choose(agentName(i), "dc1", fleet(120, 6), nil)
 		is.Equal(len(chosen), Total)
 		for _, e := range chosen {
 			if e.DataCentre == "dc1" {
-				near++
+				local++
 			}
 		}
-		is.Equal(near, Nearby)
+		is.Equal(local, MaxLocal)
 	}
 	is.Equal(len(Choose("a", "dc0", fleet(55, 1), nil)), Total) // no other data centre
 	is.Equal(len(Choose("a", "elsewhere", fleet(55, 5), nil)), Total)
 }
 
-// TestEveryEntryHasAgents: no entry is left without, and none has far more than its part.
+// TestEveryEntryHasAgents checks that each entry has between half and twice the average number of
+// agents.
 func TestEveryEntryHasAgents(t *testing.T) {
 	is := is.New(t)
 	known := fleet(55, 6)
@@ -56,12 +57,13 @@
 		}
 	}
 	for _, e := range known {
-		is.True(links[e.Address] >= 240*Total/55/2) // half and twice the average
+		is.True(links[e.Address] >= 240*Total/55/2)
 		is.True(links[e.Address] <= 240*Total/55*2)
 	}
 }
 
-// TestLinksOfAnEntryDoNotGrowWithTheFleet holds agents for each entry the same.
+// TestLinksOfAnEntryDoNotGrowWithTheFleet checks fleets of several sizes with the same number of
+// agents per entry.
 func TestLinksOfAnEntryDoNotGrowWithTheFleet(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{18, 55, 200, 600} {
@@ -74,8 +76,9 @@
 	}
 }
 
-// TestOneEntryGoneChangesFewChoices: only agents that had it choose another one.
-func TestOneEntryGoneChangesFewChoices(t *testing.T) {
+// TestRemovedEntryChangesFewChoices checks that only agents that had chosen the removed entry
+// choose another one.
+func TestRemovedEntryChangesFewChoices(t *testing.T) {
 	is := is.New(t)
 	known := fleet(55, 6)
 	for i := range 240 {
@@ -98,9 +101,9 @@
 	}
 }
 
-// TestShortEntriesShareTheAgents: many at once do not bring each agent to all of them, and
-// each gets some.
-func TestShortEntriesShareTheAgents(t *testing.T) {
+// TestAgentsAreSpreadOverShortEntries checks that an agent does not link to all of many short
+// entries, and that each of these gets agents.
+func TestAgentsAreSpreadOverShortEntries(t *testing.T) {
 	is := is.New(t)
 	short := fleet(20, 6)
 	links := make(map[string]int)
@@ -145,27 +148,28 @@
 	}
 }
 
-func TestNeighboursOfOneAlone(t *testing.T) {
+func TestNeighboursOfASingleEntry(t *testing.T) {
 	is := is.New(t)
 	is.Equal(len(Neighbours("a", nil)), 0)
 	is.Equal(Neighbours("a", []string{"a", "b", "b"}), []string{"b"})
 }
 
-// TestEntriesOfADrainedDataCentreReachRoomElsewhere: their callers stay with them, and
-// what two thirds of their agents offered is gone.
-func TestEntriesOfADrainedDataCentreReachRoomElsewhere(t *testing.T) {
+// TestEntriesOfADrainedDataCentreGetAgentsElsewhere guards against too few workers for the entries
+// of a drained data centre: callers still use these entries, but two thirds of their agents take no
+// more work.
+func TestEntriesOfADrainedDataCentreGetAgentsElsewhere(t *testing.T) {
 	is := is.New(t)
 	known := fleet(55, 6)
 	links := make(map[string]int)
 	for i := range 240 {
 		dc := fmt.Sprint("dc", i%6)
 		if dc == "dc2" {
-			continue // its own workers take nothing
+			continue // workers of the drained data centre take no work
 		}
 		chosen := Choose(agentName(i), dc, known, []string{"dc2"})
-		is.True(len(chosen) <= Total+Adopted)
+		is.True(len(chosen) <= Total+MinPerDrainedDataCentre)
 		for _, e := range Choose(agentName(i), dc, known, nil) {
-			is.True(slices.Contains(chosen, e)) // nothing is given up for it
+			is.True(slices.Contains(chosen, e)) // no other link is given up for these
 		}
 		for _, e := range chosen {
 			links[e.Address]++
@@ -173,7 +177,7 @@
 	}
 	for _, e := range known {
 		if e.DataCentre == "dc2" {
-			is.True(links[e.Address] >= 200*Total/55) // the part that all have on a calm day
+			is.True(links[e.Address] >= 200*Total/55) // the average without a drained data centre
 		}
 	}
 }
