--- a/service/batch/asking.go
+++ b/service/batch/asking.go
@@ -5,88 +5,93 @@
 	"time"
 )
 
-// asking decides when an entry asks another one for the configuration. All of them
-// hear of a new version at once, and nearly all get it from the store: passing a
-// large document on unasked would send it to each entry from every other one.
+// configFetch decides when an entry requests the configuration from another entry. All entries hear
+// of a new version at once, and nearly all of them get it from the store. If entries sent it
+// unasked, each would get a large document from every neighbour.
 //
-// A document is asked for part by part. Over a narrow link it takes seconds: the beats
-// between the entries go on between its parts, it ends as soon as the store brings the
-// document itself, and another entry goes on where the one that was asked has stopped.
-type asking struct {
+// A document is requested chunk by chunk, because over a slow link it takes seconds. Regular
+// messages of the exchange are sent between the chunks, the transfer stops as soon as the store
+// delivers the document, and any other entry can continue it where the previous one has stopped.
+type configFetch struct {
 	mu sync.Mutex
-	// version is that of the document of which part has come, empty if none has.
-	version uint64
-	part    []byte
-	// behindSince is when a newer version was first heard of; zero if none was.
+	// version is the version that is being fetched, received its first chunks; 0 if there is none.
+	version  uint64
+	received []byte
+	// behindSince is when this entry first heard of a newer version than its own; zero if it has
+	// the newest.
 	behindSince time.Time
-	// askedAt is when an entry was asked last.
-	askedAt time.Time
+	// requestedAt is when another entry was last asked.
+	requestedAt time.Time
 }
 
-// Times of asking; together they stay below the bound for a new configuration.
+// Delays of requests. Their sum is below the time in which a new configuration must be in force.
 const (
-	// storeFirst is the time that the store is given to bring a new version itself.
-	storeFirst = 250 * time.Millisecond
-	// askAgain is the time after which another entry is asked.
-	askAgain = 600 * time.Millisecond
+	// storeHeadStart is the time that the store has to deliver a new version before other entries
+	// are asked.
+	storeHeadStart = 250 * time.Millisecond
+	// requestTimeout is the time after which the next entry is asked.
+	requestTimeout = 600 * time.Millisecond
 )
 
-// partSize is the size of a part of a document, in bytes: 130 ms over a link of
-// 2 Mbit/s, the narrowest of the users', which is well below the silence after which an
-// exchange counts as lost.
-const partSize = 32 << 10
+// chunkSize is the size of a chunk in bytes. A chunk takes 130 ms over a link of 2 Mbit/s, the
+// slowest in use, which is well below exchangeTimeout.
+const chunkSize = 32 << 10
 
-// ask reports whether to ask an entry that has another version for its document, and
-// from which byte on. While the store's answer arrives a second copy would only slow it down.
-func (a *asking) ask(now time.Time, own, theirs uint64, arriving bool) (want bool, from int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if !a.due(now, own, theirs) || arriving {
+// request reports whether to ask an entry with version theirs for its configuration, and from which
+// byte on. Nothing is requested while the store is delivering a document, since a second copy would
+// slow it down.
+func (f *configFetch) request(now time.Time, own, theirs uint64, arriving bool) (want bool, from int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if !f.isDue(now, own, theirs) || arriving {
 		return false, 0
 	}
-	a.askedAt = now
-	if a.version != theirs {
-		a.version, a.part = theirs, nil
+	f.requestedAt = now
+	if f.version != theirs {
+		f.version, f.received = theirs, nil
 	}
-	return true, len(a.part)
+	return true, len(f.received)
 }
 
-func (a *asking) due(now time.Time, own, theirs uint64) bool {
+// isDue reports whether another entry may be asked for version theirs: the store has had its head
+// start, and no request is outstanding.
+func (f *configFetch) isDue(now time.Time, own, theirs uint64) bool {
 	if theirs <= own {
 		return false
 	}
-	if a.behindSince.IsZero() {
-		a.behindSince = now
+	if f.behindSince.IsZero() {
+		f.behindSince = now
 	}
-	patience := storeFirst
+	delay := storeHeadStart
 	if own == 0 {
-		patience = 0 // without any configuration nothing can be served
+		delay = 0 // nothing can be served without a configuration
 	}
-	return now.Sub(a.behindSince) >= patience && now.Sub(a.askedAt) >= askAgain
+	return now.Sub(f.behindSince) >= delay && now.Sub(f.requestedAt) >= requestTimeout
 }
 
-// took adds a part of a document. It returns the document once that is whole.
-func (a *asking) took(version uint64, from, size int, part []byte) []byte {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if version != a.version || from != len(a.part) || len(part) == 0 {
+// addChunk adds a chunk, which starts at byte from of a document of size bytes. It returns the
+// document once it is complete, and nil before.
+func (f *configFetch) addChunk(version uint64, from, size int, chunk []byte) []byte {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if version != f.version || from != len(f.received) || len(chunk) == 0 {
 		return nil // of another version, or a repeated one
 	}
-	a.part = append(a.part, part...)
-	a.askedAt = time.Time{} // the next part may be asked for
-	if len(a.part) < size {
+	f.received = append(f.received, chunk...)
+	f.requestedAt = time.Time{} // the next chunk may be requested at once
+	if len(f.received) < size {
 		return nil
 	}
-	whole := a.part
-	a.version, a.part = 0, nil
-	return whole
+	complete := f.received
+	f.version, f.received = 0, nil
+	return complete
 }
 
-// adopted notes that a version was put in force.
-func (a *asking) adopted() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.behindSince = time.Time{}
-	a.askedAt = time.Time{}
-	a.version, a.part = 0, nil
+// reset forgets the transfer, because a new version is in force.
+func (f *configFetch) reset() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.behindSince = time.Time{}
+	f.requestedAt = time.Time{}
+	f.version, f.received = 0, nil
 }
--- a/service/batch/asking_test.go
+++ b/service/batch/asking_test.go
@@ -7,71 +7,71 @@
 	"github.com/matryer/is"
 )
 
-// asks is ask without the byte, while nothing arrives from the store.
-func (a *asking) asks(now time.Time, own, theirs uint64) bool {
-	want, _ := a.ask(now, own, theirs, false)
+// requestsNow is request without the offset, while the store is not delivering a document.
+func (f *configFetch) requestsNow(now time.Time, own, theirs uint64) bool {
+	want, _ := f.request(now, own, theirs, false)
 	return want
 }
 
-func TestAsksOneEntryAtATimeAndTheStoreFirst(t *testing.T) {
+func TestRequestsFromOneEntryAtATimeAfterTheStore(t *testing.T) {
 	is := is.New(t)
-	var a asking
+	var f configFetch
 	now := time.Unix(100, 0)
-	for range 26 { // all others say at once that they have the new version
-		is.Equal(a.asks(now, 5, 6), false)
+	for range 26 { // all other entries announce the new version at once
+		is.Equal(f.requestsNow(now, 5, 6), false)
 	}
-	now = now.Add(storeFirst)
+	now = now.Add(storeHeadStart)
 	asked := 0
 	for range 26 {
-		if a.asks(now, 5, 6) {
+		if f.requestsNow(now, 5, 6) {
 			asked++
 		}
 	}
 	is.Equal(asked, 1)
-	is.Equal(a.asks(now.Add(askAgain), 5, 6), true) // the one that was asked may be gone
-	a.adopted()
-	is.Equal(a.asks(now, 6, 6), false)
-	is.Equal(a.asks(now, 6, 7), false)
+	is.Equal(f.requestsNow(now.Add(requestTimeout), 5, 6), true) // the entry that was asked may be gone
+	f.reset()
+	is.Equal(f.requestsNow(now, 6, 6), false)
+	is.Equal(f.requestsNow(now, 6, 7), false)
 }
 
-func TestEntryWithoutConfigurationAsksAtOnce(t *testing.T) {
+func TestEntryWithoutConfigurationRequestsAtOnce(t *testing.T) {
 	is := is.New(t)
-	var a asking
-	is.True(a.asks(time.Unix(100, 0), 0, 3))
-	is.Equal(a.asks(time.Unix(100, 0), 0, 3), false)
+	var f configFetch
+	is.True(f.requestsNow(time.Unix(100, 0), 0, 3))
+	is.Equal(f.requestsNow(time.Unix(100, 0), 0, 3), false)
 }
 
-// TestNoSecondCopyWhileTheStoreAnswers: over a narrow link two copies at the same time
-// would both come too late.
+// TestNoSecondCopyWhileTheStoreAnswers guards against two copies at the same time, which would both
+// be too late over a slow link.
 func TestNoSecondCopyWhileTheStoreAnswers(t *testing.T) {
 	is := is.New(t)
-	var a asking
+	var f configFetch
 	now := time.Unix(100, 0)
-	a.asks(now, 5, 6)
+	f.requestsNow(now, 5, 6)
 	for ms := 0; ms < 3000; ms += 100 {
-		want, _ := a.ask(now.Add(time.Duration(ms)*time.Millisecond), 5, 6, true)
+		want, _ := f.request(now.Add(time.Duration(ms)*time.Millisecond), 5, 6, true)
 		is.True(!want)
 	}
-	is.True(a.asks(now.Add(3*time.Second), 5, 6))
+	is.True(f.requestsNow(now.Add(3*time.Second), 5, 6))
 }
 
-// TestPartsOfADocument: parts come from whoever is asked, in order; those of another
-// version do not mix with them.
-func TestPartsOfADocument(t *testing.T) {
+// TestChunksOfADocument checks that chunks come in order from whichever entry is asked, and that
+// chunks of another version are not mixed with them.
+func TestChunksOfADocument(t *testing.T) {
 	is := is.New(t)
-	var a asking
+	var f configFetch
 	now := time.Unix(100, 0)
-	is.True(a.asks(now, 0, 6))
-	is.Equal(a.took(6, 0, 4, []byte("ab")), nil)
-	want, from := a.ask(now, 0, 6, false)
+	is.True(f.requestsNow(now, 0, 6))
+	is.Equal(f.addChunk(6, 0, 4, []byte("ab")), nil)
+	want, from := f.request(now, 0, 6, false)
 	is.True(want)
 	is.Equal(from, 2)
-	is.Equal(a.took(6, 0, 4, []byte("ab")), nil) // repeated
-	is.Equal(a.took(5, 2, 4, []byte("xx")), nil) // older
-	is.Equal(string(a.took(6, 2, 4, []byte("cd"))), "abcd")
-	is.True(a.asks(now, 0, 6)) // it was not valid: once more from the start
-	a.took(6, 0, 4, []byte("ab"))
-	want, from = a.ask(now, 0, 7, false)
+	is.Equal(f.addChunk(6, 0, 4, []byte("ab")), nil) // repeated
+	is.Equal(f.addChunk(5, 2, 4, []byte("xx")), nil) // older
+	is.Equal(string(f.addChunk(6, 2, 4, []byte("cd"))), "abcd")
+	is.True(f.requestsNow(now, 0, 6)) // the document may be invalid, so it is requested again from the start
+	f.addChunk(6, 0, 4, []byte("ab"))
+	want, from = f.request(now, 0, 7, false)
 	is.True(want)
 	is.Equal(from, 0)
 }
--- a/service/batch/config.go
+++ b/service/batch/config.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// configRetry is the pause after a failed look at the store; others pass the
-// configuration on meanwhile.
-const configRetry = 300 * time.Millisecond
+// storeRetryPause is the pause after a failed call to the store. Meanwhile other entries send the
+// configuration.
+const storeRetryPause = 300 * time.Millisecond
 
-// fromStore names the store as the source of the operator's wishes in the log.
-const fromStore = "store"
+// sourceStore names the store as the source of the operator state in the log.
+const sourceStore = "store"
 
-// followOperator takes each new version of the configuration, and the drained data
-// centres, from the store.
+// followOperator applies each change of the operator state from the store: the configuration and
+// the drained data centres.
 func (e *Entry) followOperator(ctx context.Context) error {
 	failing := false
 	for ctx.Err() == nil {
-		call, done := e.waits.begin(ctx)
-		update, err := e.deps.Store.NextUpdate(call, e.storeWait())
+		call, done := e.operatorPolls.begin(ctx)
+		update, err := e.deps.Store.NextUpdate(call, e.nextPollWait())
 		ended := call.Err() != nil
 		done()
 		if ended {
-			continue // to wait for a shorter time
+			continue // the call was cancelled to start one with a shorter wait
 		}
 		if err != nil {
 			if !failing {
@@ -30,7 +30,7 @@
 			}
 			failing = true
 			select {
-			case <-time.After(configRetry):
+			case <-time.After(storeRetryPause):
 			case <-ctx.Done():
 			}
 			continue
@@ -39,9 +39,9 @@
 			failing = false
 			e.log.Info().Uint64("config", e.configVersion()).Msg("entry: the store gives the configuration again")
 		}
-		e.learnDrains(update.Drains, fromStore)
+		e.updateDrains(update.Drains, sourceStore)
 		if update.Document != nil {
-			e.adopt(update.Document, fromStore)
+			e.adopt(update.Document, sourceStore)
 		}
 	}
 	return nil
@@ -54,7 +54,7 @@
 	return 0
 }
 
-// adopt puts a version in force unless one as new is. It never goes back.
+// adopt puts a version of the configuration in force, unless the current one is as new or newer.
 func (e *Entry) adopt(doc *Document, from string) {
 	for {
 		old := e.config.Load()
@@ -66,5 +66,5 @@
 		}
 	}
 	e.log.Info().Uint64("config", doc.Catalog.Version).Str("from", from).Msg("entry: configuration in force")
-	e.peers.configChanged()
+	e.peers.handleConfigChange()
 }
--- a/service/batch/drains.go
+++ b/service/batch/drains.go
@@ -10,7 +10,7 @@
 	"peridotpick.example/wire/runs"
 )
 
-// drainsView is what this entry knows of drained data centres, shared by its goroutines.
+// drainsView is this entry's view of the drained data centres, shared by its goroutines.
 type drainsView struct {
 	mu    sync.Mutex
 	state drains.State
@@ -22,20 +22,21 @@
 	return d.state.View(now)
 }
 
-func (d *drainsView) learn(now time.Time, v runs.Drains) (changed bool) {
+func (d *drainsView) update(now time.Time, v runs.Drains) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.state.Learn(now, v)
 }
 
-// learnDrains takes a view of drained data centres from the store or another entry, and
-// passes on what is new: to agents by the core, to entries by their exchanges.
-func (e *Entry) learnDrains(v runs.Drains, from string) {
-	if !e.drains.learn(boottime.Now(), v) {
+// updateDrains applies a view of the drained data centres from the store or another entry. If it
+// changes which ones are drained, the core passes it on to agents and the exchanges to other
+// entries.
+func (e *Entry) updateDrains(v runs.Drains, from string) {
+	if !e.drains.update(boottime.Now(), v) {
 		return
 	}
 	e.log.Info().Strs("drained", v.DataCentres).Uint64("version", v.Version).Dur("age", v.Age).Str("from", from).
 		Msg("entry: drained data centres in force")
 	e.post(func(c *core.Core, now time.Time) { c.LearnDrains(now, e.drains.view(now)) })
-	e.peers.signalAll()
+	e.peers.wakeExchanges()
 }
--- a/service/batch/drains_test.go
+++ b/service/batch/drains_test.go
@@ -9,9 +9,9 @@
 	"peridotpick.example/wire/runs"
 )
 
-// TestDrainReachesEntriesThatTheStoreTurnsAway: neighbours pass it on, and what is older
-// does not come back.
-func TestDrainReachesEntriesThatTheStoreTurnsAway(t *testing.T) {
+// TestDrainReachesEntriesWithoutTheStore checks that neighbours pass on a drain, and that an older
+// view does not replace a newer one.
+func TestDrainReachesEntriesWithoutTheStore(t *testing.T) {
 	is := is.New(t)
 	a, storeA := startEntry(t)
 	b, storeB := startEntry(t, a.self.Address)
--- a/service/batch/durable.go
+++ b/service/batch/durable.go
@@ -16,110 +16,114 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Changes are rows of durable jobs that a look at the store has shown.
+// Changes are rows of durable jobs as read from the store.
 type Changes struct {
 	Rows []ledger.Stored
-	// Next is where the next look goes on.
+	// Next is the position from which the next poll continues.
 	Next uint64
-	// More is true if there are further changes already.
+	// More is set if there are further changes to read at once.
 	More bool
-	// Restart is true if the store has dropped part of the changes: all rows must be
+	// Restart is set if the store no longer has all changes since the position: all rows must be
 	// read again.
 	Restart bool
 }
 
-// JobStore keeps durable jobs.
+// JobStore is the part of the store that keeps durable jobs.
 type JobStore interface {
 	// Jobs reads all rows.
 	Jobs(ctx context.Context) (Changes, error)
-	// JobChanges waits for changes after a position, but not longer than a time.
+	// JobChanges waits for changes after a position, at most for wait.
 	JobChanges(ctx context.Context, after uint64, wait time.Duration) (Changes, error)
-	// JobParts is the number of parts that take writes independently; JobPart tells
-	// that of a job.
+	// JobParts returns the number of partitions; each takes writes independently. JobPart returns
+	// the partition of a job, from 0.
 	JobParts() int
 	JobPart(job string) int
-	// WriteJobs carries out writes of one part, all or none. It returns an outcome
-	// for each, or an error if it is not known whether they were carried out.
+	// WriteJobs carries out writes to one partition in one transaction, all or none. It returns an
+	// outcome for each, or an error if it is unknown whether they were carried out.
 	WriteJobs(ctx context.Context, writes []ledger.Write) ([]ledger.Outcome, error)
 }
 
-// Times of following the changes.
+// Times of reading the changes.
 const (
-	// followPause is the pause after a look that showed something: it bounds the
-	// calls to the store, and how old a job's state may be at other entries.
-	followPause = 80 * time.Millisecond
-	// freshWait is how long a question waits for the known jobs to be as new as it needs,
-	// freshPoll the time between two looks whether they are.
-	freshWait = 250 * time.Millisecond
-	freshPoll = 10 * time.Millisecond
-	// freshness is how new the known jobs must be to say that there is no such job.
-	freshness = 2 * time.Second
+	// pollPause is the pause after a poll that has returned changes. It bounds the rate of calls to
+	// the store, and how old the state of a job may be at other entries.
+	pollPause = 80 * time.Millisecond
+	// freshTimeout is how long a request waits for the known jobs to be fresh enough,
+	// freshCheckInterval the time between two checks.
+	freshTimeout       = 250 * time.Millisecond
+	freshCheckInterval = 10 * time.Millisecond
+	// maxStaleness is how old the newest answered poll may be for a job to be reported as not
+	// existing.
+	maxStaleness = 2 * time.Second
 )
 
-// keeper owns the ledger. The ledger is used by the entry's loop alone.
-type keeper struct {
+// durableJobs connects the ledger to the store, to the entry's core and to requests. The ledger is
+// used by the entry's event loop only.
+type durableJobs struct {
 	entry  *Entry
 	ledger *ledger.Core
-	waits  map[ledger.RequestID]chan errkind.Kind
-	// watched are jobs whose state somebody asked for who would rather hear the end.
-	watched map[string][]chan<- struct{}
-	lanes   []*lane
-	// budget is this entry's share of the store's transactions.
-	budget *rate.Limiter
-	total  float64
-	// unconfirmed is true while jobs of this entry wait for a confirmation.
+	// pendingRequests has the channels for the answers of the ledger.
+	pendingRequests map[ledger.RequestID]chan errkind.Kind
+	// endWaiters has, by job, the channels to close when the job ends.
+	endWaiters map[string][]chan<- struct{}
+	writers    []*partitionWriter
+	// limiter limits this entry to its share of the store's transactions, totalRate is the rate of
+	// all entries together in transactions per second.
+	limiter   *rate.Limiter
+	totalRate float64
+	// unconfirmed is set while this entry owns jobs whose ownership is not confirmed.
 	unconfirmed atomic.Bool
-	// idle is true while no durable job is known: looks at the changes wait longer then.
-	idle  atomic.Bool
-	looks storeWaits
-	// urgent is set while somebody needs a newer view: the next look does not wait.
-	// hurriedAt is when that was last asked for; the loop owns it.
-	urgent    atomic.Bool
-	hurriedAt time.Time
-	nextID    atomic.Uint64
+	// empty is set while there is no durable job; polls of the changes wait longer then.
+	empty atomic.Bool
+	polls pollSet
+	// pollNow is set when a request needs fresher jobs: the next poll returns at once.
+	// pollRequestedAt is when that was last asked for; only the event loop uses it.
+	pollNow         atomic.Bool
+	pollRequestedAt time.Time
+	nextID          atomic.Uint64
 }
 
-func newKeeper(e *Entry, s ledger.Settings, writesPerSecond float64) *keeper {
+func newDurableJobs(e *Entry, s ledger.Settings, writesPerSecond float64) *durableJobs {
 	s.Self = e.self
-	k := &keeper{entry: e, ledger: ledger.New(s, boottime.Now()), waits: make(map[ledger.RequestID]chan errkind.Kind)}
-	k.watched = make(map[string][]chan<- struct{})
-	k.budget, k.total = rate.NewLimiter(rate.Limit(writesPerSecond), writeBurst), writesPerSecond
+	d := &durableJobs{entry: e, ledger: ledger.New(s, boottime.Now()), pendingRequests: make(map[ledger.RequestID]chan errkind.Kind)}
+	d.endWaiters = make(map[string][]chan<- struct{})
+	d.limiter, d.totalRate = rate.NewLimiter(rate.Limit(writesPerSecond), transactionBurst), writesPerSecond
 	for range e.deps.Store.JobParts() {
-		k.lanes = append(k.lanes, newLane(e, k.budget))
+		d.writers = append(d.writers, newPartitionWriter(e, d.limiter))
 	}
-	return k
+	return d
 }
 
-// run follows the changes and carries out writes.
-func (k *keeper) run(ctx context.Context) error {
+// run polls the changes and carries out writes until ctx ends.
+func (d *durableJobs) run(ctx context.Context) error {
 	group, work := errgroup.WithContext(ctx)
-	group.Go(func() error { return k.follow(work) })
-	for _, l := range k.lanes {
-		group.Go(func() error { return l.run(work) })
+	group.Go(func() error { return d.followChanges(work) })
+	for _, w := range d.writers {
+		group.Go(func() error { return w.run(work) })
 	}
 	return group.Wait()
 }
 
-// follow reads all jobs, then what changes.
-func (k *keeper) follow(ctx context.Context) error {
-	e := k.entry
+// followChanges reads all rows, then polls for their changes.
+func (d *durableJobs) followChanges(ctx context.Context) error {
+	e := d.entry
 	var after uint64
 	loaded, failing := false, false
 	for ctx.Err() == nil {
 		sentAt := boottime.Now()
-		call, done := k.looks.begin(ctx)
-		changes, err := k.look(call, loaded, after)
+		call, done := d.polls.begin(ctx)
+		changes, err := d.poll(call, loaded, after)
 		ended := call.Err() != nil
 		done()
 		if ended {
-			continue // somebody needs a newer view at once
+			continue // a request needs fresher jobs
 		}
 		if err != nil {
 			if !failing {
 				e.log.Warn().Err(err).Msg("entry: the store does not tell the durable jobs")
 			}
 			failing = true
-			pause(ctx, configRetry)
+			sleep(ctx, storeRetryPause)
 			continue
 		}
 		if failing {
@@ -131,132 +135,139 @@
 			continue
 		}
 		if changes.More {
-			sentAt = time.Time{} // it confirms nothing yet
+			sentAt = time.Time{} // an incomplete read confirms nothing
 		}
 		first := !loaded
 		after, loaded = changes.Next, true
 		e.post(func(_ *core.Core, now time.Time) {
 			if first {
-				k.ledger.Load(now, changes.Rows, sentAt)
+				d.ledger.Load(now, changes.Rows, sentAt)
 				return
 			}
-			k.ledger.Learn(now, changes.Rows, sentAt)
+			d.ledger.Learn(now, changes.Rows, sentAt)
 		})
 		if len(changes.Rows) > 0 && !changes.More {
-			pause(ctx, followPause)
+			sleep(ctx, pollPause)
 		}
 	}
 	return nil
 }
 
-func (k *keeper) look(ctx context.Context, loaded bool, after uint64) (Changes, error) {
+// poll makes one call to the store. It waits for changes longer while there is no durable job, and
+// not at all if a request needs fresher jobs or ownership is not confirmed.
+func (d *durableJobs) poll(ctx context.Context, loaded bool, after uint64) (Changes, error) {
 	if !loaded {
-		return k.entry.deps.Store.Jobs(ctx)
+		return d.entry.deps.Store.Jobs(ctx)
 	}
-	wait := followShort
+	wait := jobPollWait
 	switch {
-	case k.urgent.Swap(false), k.unconfirmed.Load():
+	case d.pollNow.Swap(false), d.unconfirmed.Load():
 		wait = 0
-	case k.idle.Load():
-		wait = max(followShort, k.entry.storeWait())
+	case d.empty.Load():
+		wait = max(jobPollWait, d.entry.nextPollWait())
 	}
-	return k.entry.deps.Store.JobChanges(ctx, after, wait)
+	return d.entry.deps.Store.JobChanges(ctx, after, wait)
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
 
-// exchange moves what the core and the ledger ask of each other, in the loop.
-func (k *keeper) exchange(now time.Time, out *core.Output) {
+// applyCoreOutput passes to the ledger what the core has produced for it. It runs in the event
+// loop.
+func (d *durableJobs) applyCoreOutput(now time.Time, out *core.Output) {
 	for _, name := range out.Disowned {
-		k.ledger.GaveUp(now, name)
+		d.ledger.GaveUp(now, name)
 	}
 	for _, r := range out.Records {
-		k.ledger.Record(now, r)
+		d.ledger.Record(now, r)
 	}
 	for _, u := range out.Unowned {
-		k.settle(now, u)
+		d.resolveUnowned(now, u)
 	}
 }
 
-func (k *keeper) settle(now time.Time, u core.Unowned) {
-	noted, void := k.ledger.Settle(now, u.End)
+// resolveUnowned answers an agent's question about the end of a run whose job the core does not run.
+func (d *durableJobs) resolveUnowned(now time.Time, u core.Unowned) {
+	noted, void := d.ledger.Settle(now, u.End)
 	keys := []runs.Key{u.End.Key}
 	switch {
 	case noted:
-		k.entry.core.Settle(now, u.Link, keys, nil)
+		d.entry.core.Settle(now, u.Link, keys, nil)
 	case void:
-		k.entry.core.Settle(now, u.Link, nil, keys)
-	case k.idle.Load():
-		k.hurry(now) // the agent keeps the end until a look sent from now on shows no such job
+		d.entry.core.Settle(now, u.Link, nil, keys)
+	case d.empty.Load():
+		// The agent keeps the end until a poll that is sent from now on shows that there is no such
+		// job.
+		d.requestPoll(now)
 	}
 }
 
-// hurryEvery is the shortest time between two looks that are made since somebody needs a
-// newer view. Agents ask again for each end that they keep; a look that each question ended
-// would never be answered.
-const hurryEvery = 100 * time.Millisecond
+// minPollRequestInterval is the shortest time between two polls on request. Agents ask again for
+// each end that they keep; if each question cancelled the poll in flight, no poll would ever be
+// answered.
+const minPollRequestInterval = 100 * time.Millisecond
 
-// hurry has the store looked at now rather than when the present look has waited.
-func (k *keeper) hurry(now time.Time) {
-	if now.Sub(k.hurriedAt) < hurryEvery {
+// requestPoll cancels the waiting poll and has the next one return at once.
+func (d *durableJobs) requestPoll(now time.Time) {
+	if now.Sub(d.pollRequestedAt) < minPollRequestInterval {
 		return
 	}
-	k.hurriedAt = now
-	k.urgent.Store(true)
-	k.looks.end()
+	d.pollRequestedAt = now
+	d.pollNow.Store(true)
+	d.polls.cancelAll()
 }
 
-// freshen has the known jobs be new enough to say that there is no such job, if the store
-// answers in time. Looks wait for long while no durable job is known.
-func (k *keeper) freshen(ctx context.Context) {
-	if k.isFresh() {
+// ensureFresh waits until the known jobs are fresh enough to tell that a job does not exist, at
+// most for freshTimeout. This is needed because polls wait long while there is no durable job.
+func (d *durableJobs) ensureFresh(ctx context.Context) {
+	if d.isFresh() {
 		return
 	}
-	k.entry.post(func(_ *core.Core, now time.Time) { k.hurry(now) })
-	for deadline := time.Now().Add(freshWait); time.Now().Before(deadline) && !k.isFresh(); {
-		pause(ctx, freshPoll)
+	d.entry.post(func(_ *core.Core, now time.Time) { d.requestPoll(now) })
+	for deadline := time.Now().Add(freshTimeout); time.Now().Before(deadline) && !d.isFresh(); {
+		sleep(ctx, freshCheckInterval)
 	}
 }
 
-func (k *keeper) isFresh() bool {
+func (d *durableJobs) isFresh() bool {
 	fresh := make(chan bool, 1)
-	k.entry.post(func(_ *core.Core, now time.Time) { fresh <- k.ledger.Fresh(now, freshness) })
+	d.entry.post(func(_ *core.Core, now time.Time) { fresh <- d.ledger.Fresh(now, maxStaleness) })
 	select {
 	case f := <-fresh:
 		return f
-	case <-k.entry.work.Done():
+	case <-d.entry.work.Done():
 		return true
 	}
 }
 
-// tick lets time pass.
-func (k *keeper) tick(now time.Time) {
-	k.ledger.Peers(now, k.entry.peers.heardLately())
-	k.ledger.Tick(now)
-	k.budget.SetLimit(rate.Limit(k.total / float64(k.entry.peers.count())))
+// tick lets the ledger handle the passing of time, and divides the transaction rate by the number
+// of live entries.
+func (d *durableJobs) tick(now time.Time) {
+	d.ledger.Peers(now, d.entry.peers.recentlyHeard())
+	d.ledger.Tick(now)
+	d.limiter.SetLimit(rate.Limit(d.totalRate / float64(d.entry.peers.aliveCount())))
 }
 
-// writeBurst is the number of transactions that may leave at once after a calm.
-const writeBurst = 8
+// transactionBurst is the number of transactions that may be made at once after a time without any.
+const transactionBurst = 8
 
-// perform carries out what the ledger asks for. It reports whether the core was
-// given something.
-func (k *keeper) perform(now time.Time) bool {
-	out := k.ledger.Flush()
-	e := k.entry
-	e.core.Confirm(k.ledger.OwnedUntil())
+// handleLedgerOutput carries out what the ledger asks for. It reports whether the core has got new
+// input.
+func (d *durableJobs) handleLedgerOutput(now time.Time) bool {
+	out := d.ledger.Flush()
+	e := d.entry
+	e.core.Confirm(d.ledger.OwnedUntil())
 	for _, w := range out.Writes {
-		k.lanes[e.deps.Store.JobPart(w.Job)].add(w)
+		d.writers[e.deps.Store.JobPart(w.Job)].enqueue(w)
 	}
 	for _, a := range out.Answers {
-		if wait := k.waits[a.Request]; wait != nil {
-			delete(k.waits, a.Request)
-			wait <- a.Kind
+		if reply := d.pendingRequests[a.Request]; reply != nil {
+			delete(d.pendingRequests, a.Request)
+			reply <- a.Kind
 		}
 	}
 	for _, name := range out.Disowns {
@@ -269,23 +280,23 @@
 		e.core.Recorded(now, s.Job, s.Seq)
 	}
 	for i := range out.Owns {
-		k.own(now, &out.Owns[i])
+		d.startJob(now, &out.Owns[i])
 	}
 	for _, name := range out.Ended {
-		for _, w := range k.watched[name] {
+		for _, w := range d.endWaiters[name] {
 			close(w)
 		}
-		delete(k.watched, name)
+		delete(d.endWaiters, name)
 	}
-	k.logNotes(now, out.Notes)
-	k.unconfirmed.Store(k.ledger.Unconfirmed())
-	k.idle.Store(k.ledger.Empty())
+	d.logDecisions(now, out.Notes)
+	d.unconfirmed.Store(d.ledger.Unconfirmed())
+	d.empty.Store(d.ledger.Empty())
 	return len(out.Disowns)+len(out.Cancelled)+len(out.Stored)+len(out.Owns) > 0
 }
 
-// own has the core run a job. A job whose queue is not configured any more waits.
-func (k *keeper) own(now time.Time, o *ledger.Own) {
-	e := k.entry
+// startJob has the core run a job. A job whose queue is not in the configuration is not started.
+func (d *durableJobs) startJob(now time.Time, o *ledger.Own) {
+	e := d.entry
 	config := e.Catalog()
 	if config == nil || config.Named(o.Row.Queue) == nil {
 		e.log.Warn().Str("job", o.Job).Str("queue", o.Row.Queue).Msg("entry: the queue of a durable job is not configured")
@@ -297,12 +308,12 @@
 	})
 }
 
-func (k *keeper) logNotes(now time.Time, notes []ledger.Note) {
-	e := k.entry
+func (d *durableJobs) logDecisions(now time.Time, notes []ledger.Note) {
+	e := d.entry
 	for i := range notes {
 		n := &notes[i]
 		telemetry.Count("durable."+metricName(n.Event), e.deps.Metrics)
-		ok, leftOut := e.budget.Allow("durable "+n.Event, now)
+		ok, leftOut := e.logBudget.Allow("durable "+n.Event, now)
 		if !ok {
 			continue
 		}
@@ -315,57 +326,58 @@
 	}
 }
 
-// Accept stores a job and has it run. It returns once the job is stored or refused,
-// or when ctx ends without either being known.
+// Accept stores a durable job and has it run. It returns once the job is stored or refused. If ctx
+// ends before that, it returns errkind.FateUnknown.
 func (e *Entry) Accept(ctx context.Context, name string, row *ledger.Row) errkind.Kind {
-	return e.keeper.ask(ctx, func(id ledger.RequestID, now time.Time) { e.keeper.ledger.Accept(now, id, name, row) })
+	return e.durable.request(ctx, func(id ledger.RequestID, now time.Time) { e.durable.ledger.Accept(now, id, name, row) })
 }
 
-// CancelDurable ends a durable job.
+// CancelDurable cancels a durable job.
 func (e *Entry) CancelDurable(ctx context.Context, name string) errkind.Kind {
-	e.keeper.freshen(ctx)
-	return e.keeper.ask(ctx, func(id ledger.RequestID, now time.Time) { e.keeper.ledger.Cancel(now, id, name) })
+	e.durable.ensureFresh(ctx)
+	return e.durable.request(ctx, func(id ledger.RequestID, now time.Time) { e.durable.ledger.Cancel(now, id, name) })
 }
 
-func (k *keeper) ask(ctx context.Context, do func(id ledger.RequestID, now time.Time)) errkind.Kind {
-	id := ledger.RequestID(k.nextID.Add(1))
-	wait := make(chan errkind.Kind, 1)
-	k.entry.post(func(_ *core.Core, now time.Time) {
-		k.waits[id] = wait
+// request posts an event that makes a request to the ledger, and waits for the answer.
+func (d *durableJobs) request(ctx context.Context, do func(id ledger.RequestID, now time.Time)) errkind.Kind {
+	id := ledger.RequestID(d.nextID.Add(1))
+	reply := make(chan errkind.Kind, 1)
+	d.entry.post(func(_ *core.Core, now time.Time) {
+		d.pendingRequests[id] = reply
 		do(id, now)
 	})
 	select {
-	case kind := <-wait:
+	case kind := <-reply:
 		return kind
 	case <-ctx.Done():
-		k.entry.post(func(*core.Core, time.Time) { delete(k.waits, id) })
+		d.entry.post(func(*core.Core, time.Time) { delete(d.pendingRequests, id) })
 		return errkind.FateUnknown
-	case <-k.entry.work.Done():
+	case <-d.entry.work.Done():
 		return errkind.FateUnknown
 	}
 }
 
-// JobStatus is what is known of a durable job.
+// JobStatus is the state of a durable job.
 type JobStatus struct {
 	State core.JobState
-	// Known is false if there is no such job; Certain is false if that cannot be said
-	// at present.
+	// Known is set if the job exists. Certain is set if the known jobs are fresh; if neither is
+	// set, it is unknown whether the job exists.
 	Known, Certain bool
 }
 
-// statusWait is how long a question for the state of a running job waits for its
-// end. Callers ask right after the last task has ended, some milliseconds before the
-// store has that; told "running", they come back much later.
+// statusWait is how long a request for the state of a running job waits for its end. Callers often
+// ask right after the last task has ended, some milliseconds before that is stored; if they were
+// told that the job runs, they would ask again much later.
 const statusWait = 80 * time.Millisecond
 
-// JobState tells the state of a durable job. If it has begun, that is told as soon
-// as it ends, or after a moment.
+// JobState returns the state of a durable job. For a running job it waits up to statusWait for the
+// end.
 func (e *Entry) JobState(ctx context.Context, name string) JobStatus {
 	ended := make(chan struct{})
-	status := e.jobState(name, ended)
+	status := e.currentState(name, ended)
 	if !status.Known && !status.Certain {
-		e.keeper.freshen(ctx)
-		status = e.jobState(name, ended)
+		e.durable.ensureFresh(ctx)
+		status = e.currentState(name, ended)
 	}
 	if !status.Known || status.State != core.JobRunning {
 		return status
@@ -375,21 +387,21 @@
 	case <-time.After(statusWait):
 	case <-ctx.Done():
 	}
-	return e.jobState(name, nil)
+	return e.currentState(name, nil)
 }
 
-// jobState tells what is known now. A job that has not ended closes ended when it
-// does; without it nothing is watched any more.
-func (e *Entry) jobState(name string, ended chan<- struct{}) JobStatus {
+// currentState returns the state of a job without waiting for its end. If the job has not ended and
+// ended is not nil, ended is closed when it does.
+func (e *Entry) currentState(name string, ended chan<- struct{}) JobStatus {
 	status := make(chan JobStatus, 1)
 	e.post(func(c *core.Core, now time.Time) {
-		s := JobStatus{Certain: e.keeper.ledger.Fresh(now, freshness)}
-		s.State, s.Known = e.keeper.ledger.State(name)
-		if here, running := c.State(name); running && s.Known && !s.State.Ended() && !here.Ended() {
-			s.State = here
+		s := JobStatus{Certain: e.durable.ledger.Fresh(now, maxStaleness)}
+		s.State, s.Known = e.durable.ledger.State(name)
+		if local, running := c.State(name); running && s.Known && !s.State.Ended() && !local.Ended() {
+			s.State = local
 		}
 		if s.Known && !s.State.Ended() && ended != nil {
-			e.keeper.watched[name] = append(e.keeper.watched[name], ended)
+			e.durable.endWaiters[name] = append(e.durable.endWaiters[name], ended)
 		}
 		status <- s
 	})
@@ -401,11 +413,11 @@
 	}
 }
 
-// Waiting counts the durable jobs of a queue of which no task has begun.
+// Waiting returns the number of durable jobs in a queue none of whose tasks has begun.
 func (e *Entry) Waiting(queue string) int {
-	e.keeper.freshen(e.work)
+	e.durable.ensureFresh(e.work)
 	n := make(chan int, 1)
-	e.post(func(*core.Core, time.Time) { n <- e.keeper.ledger.Waiting(queue) })
+	e.post(func(*core.Core, time.Time) { n <- e.durable.ledger.Waiting(queue) })
 	select {
 	case waiting := <-n:
 		return waiting
--- a/service/batch/durable_test.go
+++ b/service/batch/durable_test.go
@@ -10,7 +10,8 @@
 	"peridotpick.example/wire/runs"
 )
 
-// emptyStore has no durable jobs, and answers looks when they have waited.
+// emptyStore has no durable jobs. It answers each poll once its wait is over, and counts the
+// answers.
 type emptyStore struct {
 	fakeStore
 	answered atomic.Int64
@@ -28,30 +29,31 @@
 	}
 }
 
-// TestEndsOfUnknownJobsAreSettledHoweverOftenAgentsAsk: each question needs a look at the
-// store that is sent after it, and must not put an end to the one that is under way.
-func TestEndsOfUnknownJobsAreSettledHoweverOftenAgentsAsk(t *testing.T) {
+// TestEndsOfUnknownJobsAreResolvedHoweverOftenAgentsAsk guards against questions that cancel the
+// poll in flight each time: a question is answered by a poll that was sent after it, so none would
+// ever be answered.
+func TestEndsOfUnknownJobsAreResolvedHoweverOftenAgentsAsk(t *testing.T) {
 	store := &emptyStore{fakeStore: fakeStore{docs: make(chan *Document)}}
-	e := startOn(t, store)
-	waitFor(t, "the store is followed", func() bool { return e.keeper.idle.Load() })
+	e := startEntryOn(t, store)
+	waitFor(t, "the store is not polled", func() bool { return e.durable.empty.Load() })
 	end := runs.End{Key: runs.Key{Task: "00000000000000aa.0.0.0", Run: 1}, How: runs.Done, Held: true}
-	settled := make(chan bool, 1)
-	waitFor(t, "the end is settled", func() bool {
+	resolved := make(chan bool, 1)
+	waitFor(t, "the end is not resolved", func() bool {
 		e.post(func(_ *core.Core, now time.Time) {
 			for range 50 {
-				e.keeper.settle(now, core.Unowned{End: end})
+				e.durable.resolveUnowned(now, core.Unowned{End: end})
 			}
-			noted, _ := e.keeper.ledger.Settle(now, end)
-			settled <- noted
+			noted, _ := e.durable.ledger.Settle(now, end)
+			resolved <- noted
 		})
-		return <-settled
+		return <-resolved
 	})
 	before := store.answered.Load()
 	for range 40 {
-		e.post(func(_ *core.Core, now time.Time) { e.keeper.hurry(now) })
+		e.post(func(_ *core.Core, now time.Time) { e.durable.requestPoll(now) })
 		time.Sleep(10 * time.Millisecond)
 	}
 	if n := store.answered.Load() - before; n > 8 {
-		t.Errorf("%d looks in 0.4 s", n)
+		t.Errorf("%d polls answered in 0.4 s, want at most 8", n)
 	}
 }
--- a/service/batch/entry.go
+++ b/service/batch/entry.go
@@ -1,10 +1,12 @@
-// Package batch wires the decision core of an entry that serves awaited jobs to
-// sockets, timers and logs.
+// Package batch runs the I/O of an entry that serves jobs: it connects the decision core for jobs
+// (core/batch) and the ledger of durable jobs (core/ledger) to sockets, timers, the store and logs.
 //
-// Goroutines by duty: the loop owns the core; each agent's link has a reader and
-// a writer; each exchange with another entry likewise; one finds the other entries and
-// judges who is gone; one follows the configuration.
-// They meet at bounded rings, and the loop never blocks on any of them.
+// The event loop is the only goroutine that uses the core and the ledger. Other goroutines: a
+// reader and a sender for each link to an agent and for each gossip exchange with another entry;
+// one that finds other entries and detects those that are gone; one that follows the operator state
+// (the configuration and the drained data centres); one that polls the changes of durable jobs; and
+// one writer for each partition of their rows. They hand events to the loop through bounded queues,
+// and the loop never blocks on any of them.
 package batch
 
 import (
@@ -32,39 +34,40 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Document is one version of the configuration as it is stored.
+// Document is one version of the configuration. Raw is its stored form.
 type Document struct {
 	Raw     []byte
 	Catalog *catalog.Catalog
 }
 
-// Update is what the operator wants now, as far as it has changed.
+// Update is a change of the operator state.
 type Update struct {
-	// Document is a configuration that was not returned before; nil if there is none.
+	// Document is a new version of the configuration; nil if there is none.
 	Document *Document
-	// Drains is the present view of drained data centres.
+	// Drains is the current view of the drained data centres.
 	Drains runs.Drains
 }
 
-// Store keeps the operator's wishes and the registry of entries.
+// Store is the platform's store: it keeps the operator state, the registry of entries and the
+// durable jobs.
 type Store interface {
-	// NextUpdate waits for a change of the operator's wishes, but not longer than a time.
-	// Without one the view of drained data centres is confirmed.
+	// NextUpdate waits for a change of the operator state, at most for wait. If nothing changes in
+	// that time, the returned Update confirms the view of the drained data centres.
 	NextUpdate(ctx context.Context, wait time.Duration) (Update, error)
-	// Arriving reports whether a configuration is being read that NextUpdate waits for.
+	// Arriving reports whether NextUpdate is currently receiving a configuration.
 	Arriving() bool
-	// Parse decodes a document that another entry has passed on.
+	// Parse decodes a configuration that another entry has sent.
 	Parse(raw []byte) (*Document, error)
-	// Register makes an entry known.
+	// Register writes the registry row of an entry.
 	Register(ctx context.Context, e runs.Entry) error
-	// Unregister removes a row of the registry, unless it has changed.
+	// Unregister removes a row of the registry, unless it has changed since it was read.
 	Unregister(ctx context.Context, r registry.Row) error
-	// Entries lists registered entries from a place on the ring on, up to a number.
+	// Entries returns up to limit rows of the registry from a ring position on (package registry).
 	Entries(ctx context.Context, place uint64, limit int) ([]registry.Row, error)
 	JobStore
 }
 
-// Deps are what an entry needs from outside.
+// Deps are the dependencies of an Entry.
 type Deps struct {
 	Logs      *logs.Sink
 	Transport *transport.Transport
@@ -72,68 +75,72 @@
 	Metrics   metrics.Registry
 }
 
-// Settings of an entry.
+// Settings configures an Entry.
 type Settings struct {
-	// Name is the entry's instance.
+	// Name is the name of the entry's instance.
 	Name string
 	Core core.Settings
-	// Address is the IP:port for agents and entries.
+	// Address is the IP:port on which agents and other entries connect.
 	Address string
-	// Seeds are IP:port of other entries; they may be stale.
+	// Seeds are the IP:port of other entries to contact first; they may be stale.
 	Seeds []string
-	// Ledger are the settings of durable jobs.
+	// Ledger configures the ledger of durable jobs.
 	Ledger ledger.Settings
-	// WritesPerSecond is the number of transactions a second that all entries
-	// together may make for durable jobs.
+	// WritesPerSecond is the number of store transactions per second that all entries together may
+	// make for durable jobs.
 	WritesPerSecond float64
 }
 
-// Sizes of the rings.
+// Sizes of the queues, in events and messages.
 const (
-	eventRing = 8192
-	linkRing  = 1024
+	eventQueueSize = 8192
+	linkQueueSize  = 1024
 )
 
-// Times of the loop.
+// Intervals at which the loop lets the core handle the passing of time.
 const (
-	// tickBusy is the granularity of deadlines while there are jobs.
-	tickBusy = 20 * time.Millisecond
-	// tickIdle is also far below the limit from which a gap counts as a suspension.
-	tickIdle = 100 * time.Millisecond
+	// busyTickInterval applies while jobs are open; it is the granularity of their deadlines.
+	busyTickInterval = 20 * time.Millisecond
+	// idleTickInterval applies otherwise. It is far shorter than the gap between two events that
+	// the core takes for a suspension of the process.
+	idleTickInterval = 100 * time.Millisecond
 )
 
-// Entry is one running entry.
+// Entry is a running entry.
 type Entry struct {
-	settings Settings
-	deps     Deps
-	log      zerolog.Logger
-	routeLog zerolog.Logger
-	budget   *logs.Budget
-	self     runs.Entry
-	core     *core.Core
-	events   *eventloop.Ring[*core.Core]
-	links    map[core.LinkID]*link
-	waiting  map[core.RequestID]chan core.Answer
-	nextID   atomic.Uint64
-	config   atomic.Pointer[Document]
-	drains   drainsView
-	waits    storeWaits
-	peers    *peers
-	keeper   *keeper
-	listener net.Listener
-	// agentTraffic and entryTraffic count the messages of links and exchanges.
+	settings  Settings
+	deps      Deps
+	log       zerolog.Logger
+	routeLog  zerolog.Logger
+	logBudget *logs.Budget
+	self      runs.Entry
+	core      *core.Core
+	events    *eventloop.Ring[*core.Core]
+	// links and pendingAnswers are used by the event loop only, as are core and tickedAt.
+	links          map[core.LinkID]*link
+	pendingAnswers map[core.RequestID]chan core.Answer
+	nextID         atomic.Uint64
+	config         atomic.Pointer[Document]
+	drains         drainsView
+	operatorPolls  pollSet
+	peers          *peers
+	durable        *durableJobs
+	listener       net.Listener
+	// agentTraffic counts the messages on links to agents, entryTraffic those on exchanges with
+	// entries.
 	agentTraffic, entryTraffic *telemetry.Traffic
 	// workers is the number of workers that can be given work.
 	workers  atomic.Int64
 	draining atomic.Bool
-	// tickedAt is when time was last judged; ticks counts that.
+	// tickedAt is the time of the last tick, ticks their number.
 	tickedAt time.Time
 	ticks    atomic.Int64
-	work     context.Context
-	abort    context.CancelFunc
+	// work is the context of all goroutines of the entry; abort ends it.
+	work  context.Context
+	abort context.CancelFunc
 }
 
-// New returns an entry that listens already; Run starts it.
+// New returns an entry that already listens on its address. Run serves it.
 func New(s Settings, deps Deps) (*Entry, error) {
 	listener, err := deps.Transport.Listen(s.Address)
 	if err != nil {
@@ -143,42 +150,43 @@
 	s.Core.Seed = number
 	e := &Entry{
 		settings: s, deps: deps, log: deps.Logs.For(logs.Entry), routeLog: deps.Logs.For(logs.Route),
-		budget: logs.NewBudget(linesPerSecond),
-		self:   runs.Entry{Address: s.Address, Incarnation: number, DataCentre: s.Core.DataCentre},
-		core:   core.New(s.Core), links: make(map[core.LinkID]*link),
-		waiting: make(map[core.RequestID]chan core.Answer), listener: listener,
+		logBudget: logs.NewBudget(maxLinesPerSecond),
+		self:      runs.Entry{Address: s.Address, Incarnation: number, DataCentre: s.Core.DataCentre},
+		core:      core.New(s.Core), links: make(map[core.LinkID]*link),
+		pendingAnswers: make(map[core.RequestID]chan core.Answer), listener: listener,
 		agentTraffic: telemetry.NewTraffic("agents", deps.Metrics), entryTraffic: telemetry.NewTraffic("entries", deps.Metrics),
 	}
 	e.work, e.abort = context.WithCancel(context.Background())
-	e.events = eventloop.New[*core.Core](eventRing, eventloop.Batch, e.work.Done())
+	e.events = eventloop.New[*core.Core](eventQueueSize, eventloop.Batch, e.work.Done())
 	e.peers = newPeers(e)
-	e.keeper = newKeeper(e, s.Ledger, s.WritesPerSecond)
+	e.durable = newDurableJobs(e, s.Ledger, s.WritesPerSecond)
 	return e, nil
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx ends or a part of the entry fails.
 func (e *Entry) Run(ctx context.Context) error {
 	e.log.Info().Str("entry", e.settings.Name).Str("address", e.self.Address).Uint64("incarnation", e.self.Incarnation).
 		Strs("seeds", e.settings.Seeds).Msg("entry: started")
 	serve := func(work context.Context) error { return transport.Serve(work, e.listener, runs.Handler{Server: e}) }
 	process := lifecycle.Process{Work: e.work, Abort: e.abort}
-	err := lifecycle.Run(ctx, process, e.loop, serve, e.followOperator, e.peers.run, e.keeper.run)
+	err := lifecycle.Run(ctx, process, e.runLoop, serve, e.followOperator, e.peers.run, e.durable.run)
 	e.log.Info().Str("entry", e.settings.Name).Msg("entry: stopped")
 	return err
 }
 
-// Drain makes the entry report that it is not ready.
+// Drain makes Ready report false.
 func (e *Entry) Drain() {
 	e.draining.Store(true)
 	e.log.Info().Str("entry", e.settings.Name).Msg("entry: draining")
 }
 
-// Ready reports whether new connections should be sent to this entry.
+// Ready reports whether this entry can take new connections: it has a configuration and workers,
+// and is not draining.
 func (e *Entry) Ready() bool {
 	return e.config.Load() != nil && e.workers.Load() > 0 && !e.draining.Load()
 }
 
-// Catalog returns the configuration in force, or nil.
+// Catalog returns the configuration in force; nil if there is none.
 func (e *Entry) Catalog() *catalog.Catalog {
 	if doc := e.config.Load(); doc != nil {
 		return doc.Catalog
@@ -189,9 +197,9 @@
 // post hands an event to the loop, unless the entry has stopped.
 func (e *Entry) post(ev eventloop.Event[*core.Core]) { e.events.Post(ev) }
 
-// loop owns the core.
-func (e *Entry) loop(ctx context.Context) error {
-	timer := time.NewTimer(tickIdle)
+// runLoop is the event loop. It is the only goroutine that uses the core and the ledger.
+func (e *Entry) runLoop(ctx context.Context) error {
+	timer := time.NewTimer(idleTickInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -202,50 +210,52 @@
 		case <-timer.C:
 		}
 		now := boottime.Now()
-		e.judgeTime(now)
-		e.settle(now)
-		timer.Reset(e.tick())
+		e.tickIfDue(now)
+		e.processOutputs(now)
+		timer.Reset(e.tickInterval())
 	}
 }
 
-// judgeTime lets the core judge what has passed. It is done between events, too: a
-// timer that each event sets anew would never fire under load.
-func (e *Entry) judgeTime(now time.Time) {
-	if now.Sub(e.tickedAt) < e.tick() {
+// tickIfDue lets the core and the ledger handle the passing of time once the tick interval has
+// passed. It is called after each event as well, because the timer is reset by each event and would
+// never fire under load.
+func (e *Entry) tickIfDue(now time.Time) {
+	if now.Sub(e.tickedAt) < e.tickInterval() {
 		return
 	}
 	e.tickedAt = now
 	e.ticks.Add(1)
 	e.core.LearnDrains(now, e.drains.view(now))
 	e.core.Tick(now)
-	e.keeper.tick(now)
+	e.durable.tick(now)
 	e.workers.Store(int64(e.core.Workers()))
-	e.peers.setShort(e.core.Short(e.peers.exchanges() > 0))
-	e.publish()
+	e.peers.setShort(e.core.Short(e.peers.exchangeCount() > 0))
+	e.updateGauges()
 }
 
-// settle carries out what the core and the ledger ask for, until neither has
-// given the other something new.
-func (e *Entry) settle(now time.Time) {
+// processOutputs carries out what the core and the ledger ask for, until neither has produced input
+// for the other.
+func (e *Entry) processOutputs(now time.Time) {
 	for {
 		out := e.core.Flush(now)
-		e.perform(out)
-		e.keeper.exchange(now, &out)
-		if !e.keeper.perform(now) {
+		e.handleCoreOutput(out)
+		e.durable.applyCoreOutput(now, &out)
+		if !e.durable.handleLedgerOutput(now) {
 			return
 		}
 	}
 }
 
-func (e *Entry) tick() time.Duration {
+// tickInterval returns the current time between two ticks.
+func (e *Entry) tickInterval() time.Duration {
 	if e.core.Jobs() == 0 {
-		return tickIdle
+		return idleTickInterval
 	}
-	return tickBusy
+	return busyTickInterval
 }
 
-// perform carries out what the core asks for.
-func (e *Entry) perform(out core.Output) {
+// handleCoreOutput carries out what the core asks for.
+func (e *Entry) handleCoreOutput(out core.Output) {
 	for _, id := range out.Closes {
 		if l := e.links[id]; l != nil {
 			l.stop()
@@ -257,24 +267,25 @@
 		}
 	}
 	for _, answer := range out.Answers {
-		if waiting := e.waiting[answer.Request]; waiting != nil {
-			delete(e.waiting, answer.Request)
-			waiting <- answer
+		if reply := e.pendingAnswers[answer.Request]; reply != nil {
+			delete(e.pendingAnswers, answer.Request)
+			reply <- answer
 		}
 	}
-	e.peers.tellSuspects(out.Suspects)
-	e.logNotes(out.Notes)
+	e.peers.broadcastSuspects(out.Suspects)
+	e.logDecisions(out.Notes)
 }
 
-// linesPerSecond bounds the lines of one event: about twice what an entry writes
-// at the highest load of today's deployments.
-const linesPerSecond = 400
+// maxLinesPerSecond is the maximum rate of log lines for each kind of event. It is about twice the
+// rate of an entry at the highest load of present deployments.
+const maxLinesPerSecond = 400
 
-func (e *Entry) logNotes(notes []core.Note) {
+// logDecisions counts decisions and logs them, within the rate limit of each kind of event.
+func (e *Entry) logDecisions(notes []core.Note) {
 	for i := range notes {
 		n := &notes[i]
-		e.count(n)
-		ok, leftOut := e.budget.Allow(n.Event+n.How.String(), boottime.Now())
+		e.countDecision(n)
+		ok, leftOut := e.logBudget.Allow(n.Event+n.How.String(), boottime.Now())
 		if !ok {
 			continue
 		}
@@ -282,25 +293,25 @@
 		if leftOut > 0 {
 			line.Int("left_out", leftOut)
 		}
-		describe(line, n).Msg("route: " + n.Event)
+		addDecisionFields(line, n).Msg("route: " + n.Event)
 	}
 }
 
-// describe adds what a decision is about and what decided it. Fields without a value
-// are left out.
-func describe(line *zerolog.Event, n *core.Note) *zerolog.Event {
-	word := func(name, value string) {
+// addDecisionFields adds to a log line what a decision is about and what it was based on. Fields
+// without a value are left out.
+func addDecisionFields(line *zerolog.Event, n *core.Note) *zerolog.Event {
+	addString := func(name, value string) {
 		if value != "" {
 			line.Str(name, value)
 		}
 	}
-	span := func(name string, value time.Duration) {
+	addDuration := func(name string, value time.Duration) {
 		if value != 0 {
 			line.Dur(name, value)
 		}
 	}
-	word("job", n.Job)
-	word("queue", n.Queue)
+	addString("job", n.Job)
+	addString("queue", n.Queue)
 	if n.Version != 0 {
 		line.Uint64("config", n.Version)
 	}
@@ -310,13 +321,13 @@
 	if n.How != 0 {
 		line.Stringer("how", n.How)
 	}
-	word("agent", n.Agent)
-	word("worker", n.Worker)
-	word("reason", n.Reason)
-	span("age", n.Age)
-	span("expected", n.Expected)
-	span("wait", n.Wait)
-	span("slack", n.Slack)
+	addString("agent", n.Agent)
+	addString("worker", n.Worker)
+	addString("reason", n.Reason)
+	addDuration("age", n.Age)
+	addDuration("expected", n.Expected)
+	addDuration("wait", n.Wait)
+	addDuration("slack", n.Slack)
 	if n.Deferred {
 		line.Bool("deferred", true)
 	}
@@ -328,8 +339,8 @@
 
 func metricName(event string) string { return strings.ReplaceAll(event, " ", "_") }
 
-// count keeps the metrics of decisions.
-func (e *Entry) count(n *core.Note) {
+// countDecision updates the metrics of decisions.
+func (e *Entry) countDecision(n *core.Note) {
 	name := metricName(n.Event)
 	switch n.Event {
 	case "end":
@@ -343,17 +354,17 @@
 	}
 	telemetry.Count("decisions."+name, e.deps.Metrics)
 	if n.Deferred {
-		telemetry.Count("deferred."+outcomes[n.Event]+"."+n.Queue, e.deps.Metrics)
+		telemetry.Count("deferred."+deferredOutcomes[n.Event]+"."+n.Queue, e.deps.Metrics)
 	}
 }
 
-// outcomes are the ends of deferred jobs by the event that tells them.
-var outcomes = map[string]string{"done": "served", "give up": "lost"}
+// deferredOutcomes maps the event that ends a deferred job to its name in the metrics.
+var deferredOutcomes = map[string]string{"done": "served", "give up": "lost"}
 
-// publish keeps the metrics of the present state.
-func (e *Entry) publish() {
+// updateGauges updates the metrics of the current state.
+func (e *Entry) updateGauges() {
 	telemetry.Gauge("jobs", e.deps.Metrics, int64(e.core.Jobs()))
-	telemetry.Gauge("durable.open", e.deps.Metrics, int64(e.keeper.ledger.Open()))
+	telemetry.Gauge("durable.open", e.deps.Metrics, int64(e.durable.ledger.Open()))
 	telemetry.Gauge("workers", e.deps.Metrics, e.workers.Load())
 	telemetry.Gauge("ticks", e.deps.Metrics, e.ticks.Load())
 	telemetry.Gauge("links", e.deps.Metrics, int64(len(e.links)))
@@ -363,31 +374,32 @@
 	telemetry.Gauge("drains.age_ms", e.deps.Metrics, drained.Age.Milliseconds())
 	telemetry.Gauge("logs.dropped", e.deps.Metrics, e.deps.Logs.Dropped())
 	e.agentTraffic.Log(e.tickedAt, e.log, "entry: traffic", len(e.links))
-	e.entryTraffic.Log(e.tickedAt, e.log, "entry: traffic", e.peers.exchanges())
+	e.entryTraffic.Log(e.tickedAt, e.log, "entry: traffic", e.peers.exchangeCount())
 }
 
-// Submit hands a job in and waits for its answer, or until ctx ends because the
-// caller has gone.
+// Submit runs a job and returns its answer. wait is the time until the job's deadline, counted from
+// the arrival of the request. If ctx ends first, because the caller has disconnected, the job is
+// cancelled. If the entry stops first, the kind of the answer is errkind.FateUnknown.
 func (e *Entry) Submit(ctx context.Context, r core.Request, wait time.Duration) core.Answer {
 	r.ID = core.RequestID(e.nextID.Add(1))
-	waiting := make(chan core.Answer, 1)
+	reply := make(chan core.Answer, 1)
 	e.post(func(c *core.Core, now time.Time) {
 		if ctx.Err() != nil {
-			return // the caller left while its request waited here: nothing may begin
+			return // the caller has disconnected while its request was queued, so nothing may start
 		}
 		if r.Arrived.IsZero() {
 			r.Arrived = now
 		}
 		r.Deadline = r.Arrived.Add(wait)
-		e.waiting[r.ID] = waiting
+		e.pendingAnswers[r.ID] = reply
 		c.Submit(now, &r)
 	})
 	select {
-	case answer := <-waiting:
+	case answer := <-reply:
 		return answer
 	case <-ctx.Done():
 		e.post(func(c *core.Core, now time.Time) {
-			delete(e.waiting, r.ID)
+			delete(e.pendingAnswers, r.ID)
 			c.Cancel(now, r.ID)
 		})
 		return core.Answer{Kind: errkind.Canceled}
@@ -396,7 +408,7 @@
 	}
 }
 
-// Cancel ends a job by its name. It reports whether the job was here.
+// Cancel cancels the job with the given name. It reports whether this entry has the job.
 func (e *Entry) Cancel(name string) bool {
 	known := make(chan bool, 1)
 	e.post(func(c *core.Core, now time.Time) { known <- c.CancelJob(now, name) })
@@ -408,7 +420,7 @@
 	}
 }
 
-// Jobs returns the number of jobs that are not answered yet.
+// Jobs returns the number of awaited jobs without an answer.
 func (e *Entry) Jobs() int {
 	n := make(chan int, 1)
 	e.post(func(c *core.Core, _ time.Time) { n <- c.Jobs() })
--- a/service/batch/exchange.go
+++ b/service/batch/exchange.go
@@ -8,40 +8,40 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Times of an exchange between entries.
+// Intervals and timeouts of a gossip exchange.
 const (
-	// gossipEvery is the longest silence between two entries, silentAfter the
-	// silence after which a stream is closed and opened anew.
-	gossipEvery = 400 * time.Millisecond
-	// behindEvery is the pause while the other side has a newer configuration.
-	behindEvery = 100 * time.Millisecond
-	silentAfter = 1500 * time.Millisecond
-	// differAfter is the number of messages in a row with another digest after which
-	// all records are told: changes that are on their way have come by then.
-	differAfter = 3
+	// gossipInterval is the longest time between two messages to another entry, exchangeTimeout the
+	// silence after which the stream is closed and opened anew.
+	gossipInterval = 400 * time.Millisecond
+	// behindInterval is the interval while the other side has a newer configuration.
+	behindInterval  = 100 * time.Millisecond
+	exchangeTimeout = 1500 * time.Millisecond
+	// mismatchesBeforeFullView is the number of consecutive messages with another digest after
+	// which all records are sent. Changes that are in transit have arrived by then.
+	mismatchesBeforeFullView = 3
 )
 
-// exchange is an open stream between two entries. Its fields are guarded by peers.mu.
+// exchange is an open gossip stream to another entry. Its fields are guarded by peers.mu.
 type exchange struct {
-	// address is that of the other entry; empty before its first word.
+	// address is the address of the other entry; empty before its first message.
 	address string
 	heardAt time.Time
-	// dialed is set on the side that opened it.
+	// dialed is set on the side that has opened the stream.
 	dialed bool
-	// pending are records to tell, all is set if all are to be told.
-	pending []runs.Member
-	all     bool
-	// suspects are tasks to tell that crash workers.
+	// pending are the records to send, fullView is set if all records are to be sent.
+	pending  []runs.Member
+	fullView bool
+	// suspects are the tasks suspected of crashing workers that are still to be sent.
 	suspects []runs.Suspect
-	// closing is set once the exchange shall be closed on purpose.
+	// closing is set once this side closes the exchange on purpose.
 	closing bool
-	// differs counts the messages in a row whose digest was another one.
-	differs int
-	wake    chan struct{}
+	// digestMismatches counts the consecutive messages with another digest than this entry's.
+	digestMismatches int
+	wake             chan struct{}
 }
 
-// signal has the exchange speak.
-func (x *exchange) signal() {
+// wakeSender has the next message sent at once.
+func (x *exchange) wakeSender() {
 	select {
 	case x.wake <- struct{}{}:
 	default:
@@ -52,110 +52,114 @@
 func (e *Entry) Gossip(stream runs.GossipEnd) error {
 	ctx, stop := context.WithCancel(stream.Context())
 	defer stop()
-	e.peers.exchange(ctx, func() { stop(); _ = stream.Close() }, stream, false)
+	e.peers.runExchange(ctx, func() { stop(); _ = stream.Close() }, stream, false)
 	return nil
 }
 
-// exchange speaks on a stream until it breaks or goes silent. It reports whether
-// the other side was heard.
-func (p *peers) exchange(ctx context.Context, stop func(), stream runs.GossipEnd, dialed bool) bool {
-	x := &exchange{dialed: dialed, wake: make(chan struct{}, 1), all: true}
+// runExchange serves a stream until it breaks or times out. It reports whether any message was
+// received.
+func (p *peers) runExchange(ctx context.Context, stop func(), stream runs.GossipEnd, dialed bool) bool {
+	x := &exchange{dialed: dialed, wake: make(chan struct{}, 1), fullView: true}
 	p.mu.Lock()
-	p.streams[x] = true
+	p.exchanges[x] = true
 	p.mu.Unlock()
-	theirs := make(chan heard, 1)
+	remote := make(chan remoteState, 1)
 	go func() {
 		defer stop()
-		p.speak(ctx, stream, x, theirs)
+		p.sendLoop(ctx, stream, x, remote)
 	}()
-	reached := p.listen(stop, stream, x, theirs)
+	reached := p.receiveLoop(stop, stream, x, remote)
 	stop()
 	p.mu.Lock()
-	delete(p.streams, x)
+	delete(p.exchanges, x)
 	p.mu.Unlock()
 	return reached
 }
 
-// heard is what the other side of a stream has said last.
-type heard struct {
+// remoteState is the state of the other side as of its last messages.
+type remoteState struct {
+	// version is the version of the configuration in force there.
 	version uint64
-	// want is set if it asks for the configuration, from a byte on.
-	want bool
-	from int
+	// wantsConfig is set if the other side asks for the configuration, from the byte configOffset
+	// on.
+	wantsConfig  bool
+	configOffset int
 }
 
-// speak sends what this entry knows: at once after a change, else now and then.
-// The configuration goes along if the other side has asked for it.
-func (p *peers) speak(ctx context.Context, stream runs.GossipEnd, x *exchange, theirs <-chan heard) {
-	var last heard
+// sendLoop sends messages: at once after a change, otherwise at an interval. A message includes a
+// chunk of the configuration if the other side has asked for one.
+func (p *peers) sendLoop(ctx context.Context, stream runs.GossipEnd, x *exchange, remote <-chan remoteState) {
+	var last remoteState
 	for {
-		msg := p.word(x)
-		msg.Want, msg.WantFrom = p.asking.ask(time.Now(), msg.ConfigVersion, last.version, p.entry.deps.Store.Arriving())
-		if last.want {
-			last.want = false
-			p.addPart(msg, last)
+		msg := p.nextMessage(x)
+		msg.Want, msg.WantFrom = p.configFetch.request(time.Now(), msg.ConfigVersion, last.version, p.entry.deps.Store.Arriving())
+		if last.wantsConfig {
+			last.wantsConfig = false
+			p.addConfigChunk(msg, last)
 		}
 		if stream.Send(msg) != nil || msg.Closing {
 			return
 		}
 		p.entry.entryTraffic.Sent()
-		pause := time.NewTimer(p.pause(last.version))
-		for answered := false; !answered; {
+		timer := time.NewTimer(p.sendInterval(last.version))
+		for sendNow := false; !sendNow; {
 			select {
-			case last = <-theirs:
-				answered = last.want
+			case last = <-remote:
+				sendNow = last.wantsConfig
 				if last.version > msg.ConfigVersion {
-					pause.Reset(behindEvery)
+					timer.Reset(behindInterval)
 				}
 			case <-x.wake:
-				answered = true
-			case <-pause.C:
-				answered = true
+				sendNow = true
+			case <-timer.C:
+				sendNow = true
 			case <-ctx.Done():
-				pause.Stop()
+				timer.Stop()
 				return
 			}
 		}
-		pause.Stop()
+		timer.Stop()
 	}
 }
 
-// word returns the next message of an exchange, without a configuration.
-func (p *peers) word(x *exchange) *runs.Gossip {
+// nextMessage returns the next message of an exchange, without a configuration.
+func (p *peers) nextMessage(x *exchange) *runs.Gossip {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	msg := &runs.Gossip{
 		Self: p.view.Self(), Members: x.pending, Digest: p.view.Digest(), ConfigVersion: p.entry.configVersion(),
 		Closing: x.closing, Drains: p.entry.drains.view(boottime.Now()), Suspects: x.suspects,
 	}
-	if x.all {
+	if x.fullView {
 		msg.Members = p.view.Records()
 	}
-	x.pending, x.all, x.suspects = nil, false, nil
+	x.pending, x.fullView, x.suspects = nil, false, nil
 	return msg
 }
 
-// addPart adds the part of the configuration that the other side has asked for.
-func (p *peers) addPart(msg *runs.Gossip, asked heard) {
+// addConfigChunk adds the chunk of the configuration that the other side has asked for.
+func (p *peers) addConfigChunk(msg *runs.Gossip, remote remoteState) {
 	doc := p.entry.config.Load()
-	if doc == nil || doc.Catalog.Version <= asked.version || asked.from < 0 || asked.from >= len(doc.Raw) {
+	if doc == nil || doc.Catalog.Version <= remote.version || remote.configOffset < 0 || remote.configOffset >= len(doc.Raw) {
 		return
 	}
 	msg.ConfigVersion = doc.Catalog.Version
-	msg.Config = doc.Raw[asked.from:min(asked.from+partSize, len(doc.Raw))]
-	msg.ConfigFrom, msg.ConfigSize = asked.from, len(doc.Raw)
+	msg.Config = doc.Raw[remote.configOffset:min(remote.configOffset+chunkSize, len(doc.Raw))]
+	msg.ConfigFrom, msg.ConfigSize = remote.configOffset, len(doc.Raw)
 }
 
-// pause returns the time until something is said without a reason.
-func (p *peers) pause(theirs uint64) time.Duration {
-	if theirs > p.entry.configVersion() {
-		return behindEvery
+// sendInterval returns the time until the next message if nothing changes.
+func (p *peers) sendInterval(remoteVersion uint64) time.Duration {
+	if remoteVersion > p.entry.configVersion() {
+		return behindInterval
 	}
-	return gossipEvery
+	return gossipInterval
 }
 
-func (p *peers) listen(stop func(), stream runs.GossipEnd, x *exchange, theirs chan heard) (reached bool) {
-	silence := time.AfterFunc(silentAfter, stop)
+// receiveLoop handles messages until the stream breaks, and calls stop if none arrives for
+// exchangeTimeout. It reports whether any message was received. remote holds the newest state only.
+func (p *peers) receiveLoop(stop func(), stream runs.GossipEnd, x *exchange, remote chan remoteState) (reached bool) {
+	silence := time.AfterFunc(exchangeTimeout, stop)
 	defer silence.Stop()
 	for {
 		msg, err := stream.Recv()
@@ -164,60 +168,60 @@
 		}
 		reached = true
 		p.entry.entryTraffic.Received()
-		silence.Reset(silentAfter)
-		p.hear(x, msg)
-		p.entry.learnDrains(msg.Drains, msg.Self.Entry.Address)
-		p.hearSuspects(msg.Suspects)
-		p.takeConfig(x, msg)
-		now := heard{version: msg.ConfigVersion, want: msg.Want, from: msg.WantFrom}
+		silence.Reset(exchangeTimeout)
+		p.handleMessage(x, msg)
+		p.entry.updateDrains(msg.Drains, msg.Self.Entry.Address)
+		p.receiveSuspects(msg.Suspects)
+		p.receiveConfigChunk(x, msg)
+		latest := remoteState{version: msg.ConfigVersion, wantsConfig: msg.Want, configOffset: msg.WantFrom}
 		select {
-		case before := <-theirs:
-			if before.want && !now.want {
-				now.want, now.from = true, before.from
+		case unread := <-remote:
+			if unread.wantsConfig && !latest.wantsConfig {
+				latest.wantsConfig, latest.configOffset = true, unread.configOffset
 			}
 		default:
 		}
-		theirs <- now
+		remote <- latest
 	}
 }
 
-// hear takes what another entry says of itself and of others.
-func (p *peers) hear(x *exchange, msg *runs.Gossip) {
+// handleMessage merges the membership records of a message and compares the digests.
+func (p *peers) handleMessage(x *exchange, msg *runs.Gossip) {
 	now := time.Now()
 	p.mu.Lock()
 	x.address, x.heardAt = msg.Self.Entry.Address, now
 	if !x.closing {
-		p.direct[x.address] = now
+		p.lastHeard[x.address] = now
 	}
 	ch := p.view.Hear(now, append(msg.Members, msg.Self))
-	p.spread(ch, x)
+	p.broadcastLocked(ch, x)
 	if p.view.Gone(x.address) {
-		x.all = true // it must hear so, to set it right
-		x.signal()
+		x.fullView = true // the other entry needs this record to publish a newer one of itself
+		x.wakeSender()
 	}
 	if msg.Closing {
-		delete(p.direct, x.address) // it is not lost
+		delete(p.lastHeard, x.address) // the entry has not gone
 		x.address = ""
 	}
 	if msg.Digest == p.view.Digest() {
-		x.differs = 0
-	} else if x.differs++; x.differs >= differAfter {
-		x.differs, x.all = 0, true
+		x.digestMismatches = 0
+	} else if x.digestMismatches++; x.digestMismatches >= mismatchesBeforeFullView {
+		x.digestMismatches, x.fullView = 0, true
 	}
 	p.mu.Unlock()
-	p.report(ch)
+	p.publishChange(ch)
 }
 
-// takeConfig takes a part of a configuration that another entry has passed on, and puts
-// it in force once it is whole.
-func (p *peers) takeConfig(x *exchange, msg *runs.Gossip) {
+// receiveConfigChunk takes a chunk of a configuration and puts the configuration in force once it
+// is complete.
+func (p *peers) receiveConfigChunk(x *exchange, msg *runs.Gossip) {
 	if len(msg.Config) == 0 || msg.ConfigVersion <= p.entry.configVersion() {
 		return
 	}
 	from := msg.Self.Entry.Address
-	raw := p.asking.took(msg.ConfigVersion, msg.ConfigFrom, msg.ConfigSize, msg.Config)
+	raw := p.configFetch.addChunk(msg.ConfigVersion, msg.ConfigFrom, msg.ConfigSize, msg.Config)
 	if raw == nil {
-		x.signal() // to ask for the next part
+		x.wakeSender() // asks for the next chunk
 		return
 	}
 	doc, err := p.entry.deps.Store.Parse(raw)
--- a/service/batch/lane.go
+++ b/service/batch/lane.go
@@ -10,76 +10,77 @@
 	"peridotpick.example/core/ledger"
 )
 
-// lane carries out the writes of one part of the store, several in a transaction.
-// A transaction without an answer is repeated unchanged until its fate is known;
-// writes are conditional, so that repeating them is harmless.
-type lane struct {
+// partitionWriter carries out the writes to one partition of the store, several in a transaction. A
+// transaction without an answer is repeated unchanged until its result is known. That is safe
+// because the writes are conditional.
+type partitionWriter struct {
 	entry  *Entry
 	writes chan ledger.Write
-	// budget is the entry's share of the transactions of all entries together.
-	budget *rate.Limiter
-	// timeout is that of the next transaction.
+	// limiter limits the transactions of this entry to its share.
+	limiter *rate.Limiter
+	// timeout is the timeout of the next transaction.
 	timeout time.Duration
 }
 
 const (
-	// laneRing bounds the writes that wait.
-	laneRing = 8192
-	// laneGroup is the number of writes in one transaction: the store takes a hundred
-	// conditions and changes together.
-	laneGroup = 45
-	// The time that an answer may take follows the store: laneTimeouts times what the
-	// last one took, within bounds. A store that is slow for all would otherwise get
-	// each transaction several times and become slower yet.
-	laneTimeouts   = 4
-	laneTimeoutMin = 300 * time.Millisecond
-	laneTimeoutMax = 5 * time.Second
-	// laneRetry is the pause after a transaction that was refused or got no answer.
-	laneRetry = 60 * time.Millisecond
-	// urgentTries is how often a write that somebody waits for is tried again after
-	// the store has refused it.
-	urgentTries = 3
+	// writeQueueSize is the maximum number of queued writes.
+	writeQueueSize = 8192
+	// maxWritesPerTransaction follows from the store's limit of a hundred conditions and changes
+	// together.
+	maxWritesPerTransaction = 45
+	// The timeout of a transaction is timeoutFactor times the duration of the previous one, within
+	// bounds. With a fixed timeout, a store that is slow under load would get each transaction
+	// several times and become slower still.
+	timeoutFactor         = 4
+	minTransactionTimeout = 300 * time.Millisecond
+	maxTransactionTimeout = 5 * time.Second
+	// transactionRetryPause is the pause after a transaction that was rejected or got no answer.
+	transactionRetryPause = 60 * time.Millisecond
+	// maxUrgentAttempts is the number of rejected attempts after which an urgent write fails.
+	maxUrgentAttempts = 3
 )
 
-func newLane(e *Entry, budget *rate.Limiter) *lane {
-	return &lane{entry: e, writes: make(chan ledger.Write, laneRing), budget: budget, timeout: laneTimeoutMin}
+func newPartitionWriter(e *Entry, limiter *rate.Limiter) *partitionWriter {
+	return &partitionWriter{entry: e, writes: make(chan ledger.Write, writeQueueSize), limiter: limiter, timeout: minTransactionTimeout}
 }
 
-// add hands a write over. One that finds no room is refused: it was never sent.
-func (l *lane) add(w ledger.Write) {
+// enqueue queues a write. If the queue is full, the write is reported as rejected; it was never
+// sent.
+func (p *partitionWriter) enqueue(w ledger.Write) {
 	select {
-	case l.writes <- w:
+	case p.writes <- w:
 	default:
-		go l.tell([]ledger.Write{w}, []ledger.Outcome{{Fate: ledger.NotDone}})
+		go p.report([]ledger.Write{w}, []ledger.Outcome{{Fate: ledger.NotDone}})
 	}
 }
 
-func (l *lane) run(ctx context.Context) error {
+// run carries out queued writes until ctx ends.
+func (p *partitionWriter) run(ctx context.Context) error {
 	for {
-		group, ok := l.gather(ctx)
+		group, ok := p.nextGroup(ctx)
 		if !ok {
 			return nil
 		}
-		l.carryOut(ctx, group)
+		p.commit(ctx, group)
 	}
 }
 
-// gather waits for a write and takes those that have come until the budget allows
-// a transaction.
-func (l *lane) gather(ctx context.Context) ([]ledger.Write, bool) {
+// nextGroup waits for a write and for the limiter, and returns all writes that are queued by then,
+// up to maxWritesPerTransaction. It returns false once ctx has ended.
+func (p *partitionWriter) nextGroup(ctx context.Context) ([]ledger.Write, bool) {
 	var group []ledger.Write
 	select {
-	case w := <-l.writes:
+	case w := <-p.writes:
 		group = append(group, w)
 	case <-ctx.Done():
 		return nil, false
 	}
-	if l.budget.Wait(ctx) != nil {
+	if p.limiter.Wait(ctx) != nil {
 		return nil, false
 	}
-	for len(group) < laneGroup {
+	for len(group) < maxWritesPerTransaction {
 		select {
-		case w := <-l.writes:
+		case w := <-p.writes:
 			group = append(group, w)
 		default:
 			return group, true
@@ -88,58 +89,58 @@
 	return group, true
 }
 
-// carryOut repeats a group until the fate of all its writes is known.
-func (l *lane) carryOut(ctx context.Context, group []ledger.Write) {
-	certain := true // nothing of the group may be under way
-	for tries := 1; len(group) > 0 && ctx.Err() == nil; tries++ {
-		outcomes, err := l.call(ctx, group)
+// commit repeats a group of writes until the result of each is known.
+func (p *partitionWriter) commit(ctx context.Context, group []ledger.Write) {
+	certain := true // no attempt of unknown result may still be carried out
+	for attempt := 1; len(group) > 0 && ctx.Err() == nil; attempt++ {
+		outcomes, err := p.transact(ctx, group)
 		if err != nil {
-			l.entry.log.Warn().Err(err).Int("writes", len(group)).Msg("entry: the fate of writes to the store is not known")
+			p.entry.log.Warn().Err(err).Int("writes", len(group)).Msg("entry: the fate of writes to the store is not known")
 			certain = false
-			pause(ctx, laneRetry)
+			sleep(ctx, transactionRetryPause)
 			continue
 		}
-		again := l.settle(group, outcomes, certain && tries >= urgentTries && allRefused(outcomes))
+		again := p.reportFinal(group, outcomes, certain && attempt >= maxUrgentAttempts && allRejected(outcomes))
 		if len(again) == len(group) {
-			pause(ctx, laneRetry)
+			sleep(ctx, transactionRetryPause)
 		}
 		group = again
 	}
 }
 
-// call makes one transaction and learns how long the store takes.
-func (l *lane) call(ctx context.Context, group []ledger.Write) ([]ledger.Outcome, error) {
-	calling, cancel := context.WithTimeout(ctx, l.timeout)
+// transact makes one transaction and adapts the timeout to its duration.
+func (p *partitionWriter) transact(ctx context.Context, group []ledger.Write) ([]ledger.Outcome, error) {
+	callCtx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
 	began := time.Now()
-	outcomes, err := l.entry.deps.Store.WriteJobs(calling, group)
+	outcomes, err := p.entry.deps.Store.WriteJobs(callCtx, group)
 	if err != nil {
-		l.timeout = min(2*l.timeout, laneTimeoutMax)
+		p.timeout = min(2*p.timeout, maxTransactionTimeout)
 		return nil, err
 	}
-	l.timeout = min(max(laneTimeouts*time.Since(began), laneTimeoutMin), laneTimeoutMax)
+	p.timeout = min(max(timeoutFactor*time.Since(began), minTransactionTimeout), maxTransactionTimeout)
 	return outcomes, nil
 }
 
-// settle tells what became of writes and returns those to be tried again: after a
-// conflict the others of the group, after a refusal all but the urgent ones that
-// were tried often enough.
-func (l *lane) settle(group []ledger.Write, outcomes []ledger.Outcome, giveUp bool) []ledger.Write {
-	var again, told []ledger.Write
-	var fates []ledger.Outcome
+// reportFinal reports the results that are final and returns the writes to repeat. Rejected writes
+// are repeated, such as the other writes of a group after a conflict, unless giveUp is set and they
+// are urgent.
+func (p *partitionWriter) reportFinal(group []ledger.Write, outcomes []ledger.Outcome, giveUp bool) []ledger.Write {
+	var again, final []ledger.Write
+	var results []ledger.Outcome
 	for i, w := range group {
 		if outcomes[i].Fate == ledger.NotDone && !(giveUp && w.Urgent) {
 			again = append(again, w)
 			continue
 		}
-		told = append(told, w)
-		fates = append(fates, outcomes[i])
+		final = append(final, w)
+		results = append(results, outcomes[i])
 	}
-	l.tell(told, fates)
+	p.report(final, results)
 	return again
 }
 
-func allRefused(outcomes []ledger.Outcome) bool {
+func allRejected(outcomes []ledger.Outcome) bool {
 	for _, o := range outcomes {
 		if o.Fate != ledger.NotDone {
 			return false
@@ -148,13 +149,14 @@
 	return true
 }
 
-func (l *lane) tell(writes []ledger.Write, outcomes []ledger.Outcome) {
+// report hands the results of writes to the ledger, in the event loop.
+func (p *partitionWriter) report(writes []ledger.Write, outcomes []ledger.Outcome) {
 	if len(writes) == 0 {
 		return
 	}
-	l.entry.post(func(_ *core.Core, now time.Time) {
+	p.entry.post(func(_ *core.Core, now time.Time) {
 		for i, w := range writes {
-			l.entry.keeper.ledger.Written(now, w, outcomes[i])
+			p.entry.durable.ledger.Written(now, w, outcomes[i])
 		}
 	})
 }
--- a/service/batch/lane_test.go
+++ b/service/batch/lane_test.go
@@ -12,15 +12,16 @@
 	"peridotpick.example/core/ledger"
 )
 
-// scripted is a store of jobs that answers transactions by a script.
-type scripted struct {
+// scriptedStore is a store that answers its transactions with the functions of a script in turn;
+// the last one answers all further transactions.
+type scriptedStore struct {
 	*fakeStore
 	mu     sync.Mutex
 	groups [][]ledger.Write
 	script []func(writes []ledger.Write) ([]ledger.Outcome, error)
 }
 
-func (s *scripted) WriteJobs(_ context.Context, writes []ledger.Write) ([]ledger.Outcome, error) {
+func (s *scriptedStore) WriteJobs(_ context.Context, writes []ledger.Write) ([]ledger.Outcome, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.groups = append(s.groups, writes)
@@ -28,7 +29,7 @@
 	return answer(writes)
 }
 
-func all(fate ledger.Fate) func([]ledger.Write) ([]ledger.Outcome, error) {
+func outcomeForAll(fate ledger.Fate) func([]ledger.Write) ([]ledger.Outcome, error) {
 	return func(writes []ledger.Write) ([]ledger.Outcome, error) {
 		outcomes := make([]ledger.Outcome, len(writes))
 		for i := range outcomes {
@@ -38,55 +39,56 @@
 	}
 }
 
-func lost([]ledger.Write) ([]ledger.Outcome, error) { return nil, errAway }
+func noAnswer([]ledger.Write) ([]ledger.Outcome, error) { return nil, errUnavailable }
 
-// carry has a lane carry a group out and returns the transactions that it made.
-func carry(t *testing.T, group []ledger.Write, script ...func([]ledger.Write) ([]ledger.Outcome, error)) [][]ledger.Write {
+// commitGroup commits a group of writes against a scripted store and returns the transactions that
+// were made.
+func commitGroup(t *testing.T, group []ledger.Write, script ...func([]ledger.Write) ([]ledger.Outcome, error)) [][]ledger.Write {
 	t.Helper()
-	s := &scripted{fakeStore: &fakeStore{docs: make(chan *Document)}, script: script}
-	e := startOn(t, s)
-	newLane(e, rate.NewLimiter(rate.Inf, 1)).carryOut(context.Background(), group)
+	s := &scriptedStore{fakeStore: &fakeStore{docs: make(chan *Document)}, script: script}
+	e := startEntryOn(t, s)
+	newPartitionWriter(e, rate.NewLimiter(rate.Inf, 1)).commit(context.Background(), group)
 	return s.groups
 }
 
-func TestTransactionOfUnknownFateIsRepeatedUnchanged(t *testing.T) {
+func TestTransactionOfUnknownResultIsRepeatedUnchanged(t *testing.T) {
 	is := is.New(t)
 	group := []ledger.Write{{Job: "a", Urgent: true}, {Job: "b"}}
-	made := carry(t, group, lost, lost, all(ledger.NotDone), all(ledger.NotDone), all(ledger.NotDone), all(ledger.Applied))
-	// What may have been carried out is never given up, however often it is refused.
+	made := commitGroup(t, group, noAnswer, noAnswer, outcomeForAll(ledger.NotDone), outcomeForAll(ledger.NotDone), outcomeForAll(ledger.NotDone), outcomeForAll(ledger.Applied))
+	// A write that may have been carried out is never given up, however often it is rejected.
 	is.Equal(len(made), 6)
 	for _, m := range made {
 		is.Equal(m, group)
 	}
 }
 
-func TestRefusedUrgentWriteIsGivenUpOthersAreNot(t *testing.T) {
+func TestOnlyUrgentWritesFailAfterRejections(t *testing.T) {
 	is := is.New(t)
-	refused := all(ledger.NotDone)
-	made := carry(t, []ledger.Write{{Job: "a", Urgent: true}, {Job: "b"}}, refused, refused, refused, refused, all(ledger.Applied))
+	rejected := outcomeForAll(ledger.NotDone)
+	made := commitGroup(t, []ledger.Write{{Job: "a", Urgent: true}, {Job: "b"}}, rejected, rejected, rejected, rejected, outcomeForAll(ledger.Applied))
 	is.Equal(len(made), 5)
 	is.Equal(made[3], []ledger.Write{{Job: "b"}})
 }
 
-func TestOthersOfAGroupGoOnAfterAConflict(t *testing.T) {
+func TestOtherWritesOfAGroupAreRepeatedAfterAConflict(t *testing.T) {
 	is := is.New(t)
 	conflict := func([]ledger.Write) ([]ledger.Outcome, error) {
 		return []ledger.Outcome{{Fate: ledger.Conflict}, {Fate: ledger.NotDone}}, nil
 	}
-	made := carry(t, []ledger.Write{{Job: "a"}, {Job: "b"}}, conflict, all(ledger.Applied))
+	made := commitGroup(t, []ledger.Write{{Job: "a"}, {Job: "b"}}, conflict, outcomeForAll(ledger.Applied))
 	is.Equal(len(made), 2)
 	is.Equal(made[1], []ledger.Write{{Job: "b"}})
 }
 
-func TestTimeoutFollowsTheStore(t *testing.T) {
+func TestTransactionTimeoutAdaptsToTheStore(t *testing.T) {
 	is := is.New(t)
 	e, _ := startEntry(t)
-	l := newLane(e, rate.NewLimiter(rate.Inf, 1))
-	_, err := l.call(context.Background(), nil) // the store of the test is away
+	p := newPartitionWriter(e, rate.NewLimiter(rate.Inf, 1))
+	_, err := p.transact(context.Background(), nil) // the store of this test is unavailable
 	is.True(err != nil)
-	is.Equal(l.timeout, 2*laneTimeoutMin)
+	is.Equal(p.timeout, 2*minTransactionTimeout)
 	for range 10 {
-		_, _ = l.call(context.Background(), nil)
+		_, _ = p.transact(context.Background(), nil)
 	}
-	is.Equal(l.timeout, time.Duration(laneTimeoutMax))
+	is.Equal(p.timeout, time.Duration(maxTransactionTimeout))
 }
--- a/service/batch/link.go
+++ b/service/batch/link.go
@@ -12,22 +12,23 @@
 	"peridotpick.example/wire/runs"
 )
 
-// helloTimeout bounds the time to the first message of a link.
+// helloTimeout is the time in which the first message of a link must arrive.
 const helloTimeout = time.Second
 
-var lastLink atomic.Uint64
+var lastLinkID atomic.Uint64
 
 // link is an open link to an agent.
 type link struct {
-	id   core.LinkID
-	ring chan *runs.ToAgent
-	stop context.CancelFunc
+	id    core.LinkID
+	queue chan *runs.ToAgent
+	stop  context.CancelFunc
 }
 
-// enqueue hands a message to the writer, or closes a link that has fallen behind.
+// enqueue queues a message for sending. If the queue is full, the agent is too slow and the link is
+// closed.
 func (l *link) enqueue(msg *runs.ToAgent) {
 	select {
-	case l.ring <- msg:
+	case l.queue <- msg:
 	default:
 		l.stop()
 	}
@@ -35,12 +36,12 @@
 
 // Link implements runs.Server.
 func (e *Entry) Link(stream runs.EntryEnd) error {
-	if err := e.greet(stream); err != nil {
+	if err := e.handshake(stream); err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(stream.Context())
 	defer stop()
-	l := &link{id: core.LinkID(lastLink.Add(1)), ring: make(chan *runs.ToAgent, linkRing), stop: func() {
+	l := &link{id: core.LinkID(lastLinkID.Add(1)), queue: make(chan *runs.ToAgent, linkQueueSize), stop: func() {
 		stop()
 		_ = stream.Close()
 	}}
@@ -58,20 +59,22 @@
 	return err
 }
 
-// greet hears the agent and says who the entry is and which others it knows.
-func (e *Entry) greet(stream runs.EntryEnd) error {
+// handshake receives the agent's first message and replies with this entry, the other live entries
+// and the drained data centres.
+func (e *Entry) handshake(stream runs.EntryEnd) error {
 	timer := time.AfterFunc(helloTimeout, func() { _ = stream.Close() })
 	defer timer.Stop()
 	if _, err := stream.Recv(); err != nil {
 		return eris.Wrap(err, "receive hello")
 	}
-	hello := &runs.ToAgent{Hello: e.peers.self(), Entries: e.peers.alive()}
+	hello := &runs.ToAgent{Hello: e.peers.selfEntry(), Entries: e.peers.aliveEntries()}
 	if view := e.drains.view(boottime.Now()); view.Version > 0 {
 		hello.Drains = &view
 	}
 	return stream.Send(hello)
 }
 
+// readLink posts the agent's messages to the event loop until the link breaks.
 func (e *Entry) readLink(stream runs.EntryEnd, l *link) error {
 	defer l.stop()
 	for {
@@ -84,10 +87,11 @@
 	}
 }
 
+// writeLink sends the queued messages until ctx ends or the link breaks.
 func (e *Entry) writeLink(ctx context.Context, stream runs.EntryEnd, l *link) error {
 	for {
 		select {
-		case msg := <-l.ring:
+		case msg := <-l.queue:
 			if err := stream.Send(msg); err != nil {
 				return err
 			}
@@ -98,8 +102,8 @@
 	}
 }
 
-// tellAgents tells all agents of the entries that are known now.
-func (e *Entry) tellAgents(entries []runs.Entry) {
+// notifyAgents announces entries to all linked agents.
+func (e *Entry) notifyAgents(entries []runs.Entry) {
 	e.post(func(*core.Core, time.Time) {
 		for _, l := range e.links {
 			l.enqueue(&runs.ToAgent{Entries: entries})
--- a/service/batch/loop_test.go
+++ b/service/batch/loop_test.go
@@ -7,9 +7,9 @@
 	core "peridotpick.example/core/batch"
 )
 
-// TestTimePassesUnderLoad: deadlines, leases and takeovers are judged also while
-// events come without a pause.
-func TestTimePassesUnderLoad(t *testing.T) {
+// TestTicksContinueUnderLoad guards against ticks that starve while events arrive without a pause:
+// deadlines, leases and takeovers depend on them.
+func TestTicksContinueUnderLoad(t *testing.T) {
 	e, _ := startEntry(t)
 	stop := make(chan struct{})
 	flooded := make(chan struct{})
@@ -26,5 +26,5 @@
 	}()
 	defer func() { close(stop); <-flooded }()
 	before := e.ticks.Load()
-	waitFor(t, "ticks beside a flood of events", func() bool { return e.ticks.Load() > before+3 })
+	waitFor(t, "no ticks during a flood of events", func() bool { return e.ticks.Load() > before+3 })
 }
--- a/service/batch/peers.go
+++ b/service/batch/peers.go
@@ -14,99 +14,102 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Times of finding other entries.
+// Times and intervals of finding other entries.
 const (
-	// registerRetry is the pause after a failed attempt to register.
-	registerRetry = time.Second
-	// registryEvery is how often the registry is read for entries that nobody
-	// who is known has met.
-	registryEvery   = 15 * time.Second
+	// registerRetryPause is the pause after a failed attempt to register.
+	registerRetryPause = time.Second
+	// registryInterval is the time between two reads of the registry. They find entries that no
+	// known entry is connected to.
+	registryInterval = 15 * time.Second
+	// registryTimeout bounds one access to the registry.
 	registryTimeout = time.Second
-	// peersTick is how often lost neighbours and needless exchanges are judged.
-	peersTick = 250 * time.Millisecond
-	// chooseEach is the number of such ticks of which one chooses the neighbours anew
+	// peerCheckInterval is the time between two checks for lost neighbours and for exchanges that
+	// are no longer needed.
+	peerCheckInterval = 250 * time.Millisecond
+	// neighbourRefreshTicks is the number of such checks after which the exchanges are updated even
 	// though the view has not changed.
-	chooseEach = 8
-	// goneAfter is how long a neighbour may be without an exchange before it is said to
-	// be gone: some attempts to connect.
-	goneAfter = 500 * time.Millisecond
-	// settleAfter is the age from which an exchange with an entry that is no neighbour
-	// any more is closed: in that time a new entry hears of the others through it.
-	settleAfter = 3 * time.Second
+	neighbourRefreshTicks = 8
+	// neighbourTimeout is how long a neighbour may be without an exchange before it is declared
+	// gone; it allows for several attempts to connect.
+	neighbourTimeout = 500 * time.Millisecond
+	// minExchangeAge is the age from which an exchange with an entry that is not a neighbour is
+	// closed. In that time a new entry learns of the others through it.
+	minExchangeAge = 3 * time.Second
 )
 
-// peers knows the other entries: it exchanges with its neighbours which entries are
-// alive, and the newest configuration, so that an entry which the store turns away still
-// hears of both.
+// peers finds the other entries and exchanges the membership view and the newest configuration with
+// its neighbours, so that an entry without access to the store still gets both.
 type peers struct {
 	entry *Entry
-	mu    sync.Mutex
-	view  *membership.View
-	// candidates are addresses from the registry that may be out of reach.
+	// mu guards the fields below, except configFetch and registered.
+	mu   sync.Mutex
+	view *membership.View
+	// candidates are the addresses found in the registry; they may be unreachable.
 	candidates map[string]bool
-	// registry follows the rows after this entry's own.
+	// registry tracks the rows that follow this entry's own.
 	registry *registry.Watch
-	// contacts are the addresses that a goroutine works for.
-	contacts map[string]*contact
-	// streams are the open exchanges, direct the entries that there was one with, with
-	// the time of the last word.
-	streams map[*exchange]bool
-	direct  map[string]time.Time
-	asking  asking
-	// registered is set once this entry's row was written.
+	// outgoing has the exchanges that this entry maintains, by address; each has a goroutine.
+	outgoing map[string]*outgoingExchange
+	// exchanges are the open exchanges, whichever side has opened them. lastHeard has the time of
+	// the last message of each neighbour that there is or was an exchange with.
+	exchanges   map[*exchange]bool
+	lastHeard   map[string]time.Time
+	configFetch configFetch
+	// registered is set once this entry's row is written.
 	registered atomic.Bool
 }
 
-// contact is an address that an exchange is kept with.
-type contact struct {
-	since time.Time
-	// leaving is set once the entry is no neighbour any more.
-	leaving bool
+// outgoingExchange is an exchange that this entry opens again whenever it is lost.
+type outgoingExchange struct {
+	startedAt time.Time
+	// closing is set once the exchange is no longer needed.
+	closing bool
 }
 
 func newPeers(e *Entry) *peers {
 	return &peers{
-		entry: e, view: membership.New(e.self), candidates: make(map[string]bool), contacts: make(map[string]*contact),
-		registry: registry.NewWatch(e.self),
-		streams:  make(map[*exchange]bool), direct: make(map[string]time.Time),
+		entry: e, view: membership.New(e.self), candidates: make(map[string]bool), outgoing: make(map[string]*outgoingExchange),
+		registry:  registry.NewWatch(e.self),
+		exchanges: make(map[*exchange]bool), lastHeard: make(map[string]time.Time),
 	}
 }
 
-// run registers the entry, finds the others and judges who is gone.
+// run registers the entry, finds other entries and detects those that are gone, until ctx ends.
 func (p *peers) run(ctx context.Context) error {
 	for _, address := range p.entry.settings.Seeds {
-		p.dial(ctx, address)
+		p.startExchange(ctx, address)
 	}
 	go p.register(ctx)
 	go p.followRegistry(ctx)
-	ticker := time.NewTicker(peersTick)
+	ticker := time.NewTicker(peerCheckInterval)
 	defer ticker.Stop()
-	var chosenFor uint64
+	var updatedFor uint64
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
 		}
-		p.judgeLost()
-		p.entry.waits.judge(p.exchanges())
-		if digest := p.digest(); digest != chosenFor || n%chooseEach == 0 {
-			chosenFor = digest
-			p.choose(ctx)
+		p.declareLostNeighbours()
+		p.entry.operatorPolls.setExchangeCount(p.exchangeCount())
+		if digest := p.viewDigest(); digest != updatedFor || n%neighbourRefreshTicks == 0 {
+			updatedFor = digest
+			p.updateExchanges(ctx)
 		}
 	}
 }
 
-func (p *peers) digest() uint64 {
+func (p *peers) viewDigest() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Digest()
 }
 
+// register writes this entry's row to the registry; it retries until that succeeds.
 func (p *peers) register(ctx context.Context) {
 	for ctx.Err() == nil {
-		asking, cancel := context.WithTimeout(ctx, registryTimeout)
-		err := p.entry.deps.Store.Register(asking, p.entry.self)
+		callCtx, cancel := context.WithTimeout(ctx, registryTimeout)
+		err := p.entry.deps.Store.Register(callCtx, p.entry.self)
 		cancel()
 		if err == nil {
 			p.registered.Store(true)
@@ -114,14 +117,15 @@
 		}
 		p.entry.log.Warn().Err(err).Msg("entry: not registered yet")
 		select {
-		case <-time.After(registerRetry):
+		case <-time.After(registerRetryPause):
 		case <-ctx.Done():
 		}
 	}
 }
 
+// followRegistry reads the registry at once and then at registryInterval.
 func (p *peers) followRegistry(ctx context.Context) {
-	ticker := time.NewTicker(registryEvery)
+	ticker := time.NewTicker(registryInterval)
 	defer ticker.Stop()
 	for {
 		p.readRegistry(ctx)
@@ -133,18 +137,20 @@
 	}
 }
 
+// readRegistry reads the rows that follow this entry's own, removes stale ones, registers this entry
+// again if its row is missing, and updates the exchanges.
 func (p *peers) readRegistry(ctx context.Context) {
-	asking, cancel := context.WithTimeout(ctx, registryTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
 	store := p.entry.deps.Store
-	rows, err := store.Entries(asking, registry.Place(p.entry.self.Address), registry.Followers)
+	rows, err := store.Entries(callCtx, registry.Place(p.entry.self.Address), registry.Followers)
 	if err != nil {
 		p.entry.log.Warn().Err(err).Msg("entry: the registry of entries does not answer")
 		return
 	}
-	gone, missing := p.takeRows(rows)
-	for _, r := range gone {
-		err := store.Unregister(asking, r)
+	stale, missing := p.addRegistryRows(rows)
+	for _, r := range stale {
+		err := store.Unregister(callCtx, r)
 		p.entry.log.Info().Err(err).Str("peer", r.Entry.Address).Uint64("incarnation", r.Entry.Incarnation).
 			Msg("entry: row of an entry that is gone removed")
 	}
@@ -152,55 +158,55 @@
 		p.entry.log.Warn().Msg("entry: its row is missing")
 		p.register(ctx)
 	}
-	p.choose(ctx)
+	p.updateExchanges(ctx)
 }
 
-// takeRows adds what the registry lists to the candidates. It returns the rows to remove,
-// and whether this entry's own is missing.
-func (p *peers) takeRows(rows []registry.Row) (gone []registry.Row, missing bool) {
+// addRegistryRows adds the rows to the candidates. It returns the stale rows to remove, and whether
+// this entry's own row is missing.
+func (p *peers) addRegistryRows(rows []registry.Row) (stale []registry.Row, missing bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	gone, missing = p.registry.Read(rows, p.view.Lives)
+	stale, missing = p.registry.Read(rows, p.view.Lives)
 	for _, r := range rows {
 		p.candidates[r.Entry.Address] = true
 	}
-	for _, r := range gone {
+	for _, r := range stale {
 		delete(p.candidates, r.Entry.Address)
 	}
-	return gone, missing
+	return stale, missing
 }
 
-// choose opens exchanges with the neighbours, and closes those with others.
-func (p *peers) choose(ctx context.Context) {
+// updateExchanges opens exchanges with the neighbours and closes those with other entries.
+func (p *peers) updateExchanges(ctx context.Context) {
 	wanted := p.neighbours()
 	for _, address := range wanted {
-		p.dial(ctx, address)
+		p.startExchange(ctx, address)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	alive := p.view.Addresses()
-	for address, c := range p.contacts {
-		if !slices.Contains(wanted, address) && slices.Contains(alive, address) && time.Since(c.since) > settleAfter {
-			p.leave(address, c)
+	for address, o := range p.outgoing {
+		if !slices.Contains(wanted, address) && slices.Contains(alive, address) && time.Since(o.startedAt) > minExchangeAge {
+			p.closeOutgoingLocked(address, o)
 		}
 	}
 }
 
-// leave closes the exchange with an entry that is alive, and tells it so: else each
-// would say of the other that it is gone.
-func (p *peers) leave(address string, c *contact) {
-	c.leaving = true
-	delete(p.direct, address)
-	for x := range p.streams {
+// closeOutgoingLocked closes the exchange with a live entry and announces that to the other side.
+// Otherwise each side would declare the other one gone.
+func (p *peers) closeOutgoingLocked(address string, o *outgoingExchange) {
+	o.closing = true
+	delete(p.lastHeard, address)
+	for x := range p.exchanges {
 		if x.address == address && x.dialed {
 			x.closing = true
-			x.signal()
+			x.wakeSender()
 		}
 	}
 }
 
-// neighbours returns the addresses to exchange with: those that are next among the
-// entries which are alive, and those that would be if all that are registered were.
+// neighbours returns the addresses to exchange with: the neighbours on the ring of the live
+// entries, and those on the ring of all live or registered entries.
 func (p *peers) neighbours() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,47 +219,49 @@
 	return append(subset.Neighbours(self, alive), subset.Neighbours(self, known)...)
 }
 
-// dial starts to keep an exchange with an address unless there is one.
-func (p *peers) dial(ctx context.Context, address string) {
+// startExchange maintains an exchange with an address, unless this entry already does.
+func (p *peers) startExchange(ctx context.Context, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if address == p.entry.self.Address || p.contacts[address] != nil || ctx.Err() != nil {
+	if address == p.entry.self.Address || p.outgoing[address] != nil || ctx.Err() != nil {
 		return
 	}
-	c := &contact{since: time.Now()}
-	p.contacts[address] = c
-	go p.keep(ctx, address, c)
+	o := &outgoingExchange{startedAt: time.Now()}
+	p.outgoing[address] = o
+	go p.maintain(ctx, address, o)
 }
 
-// keep exchanges with one entry until that is out of reach for long, or is no
-// neighbour any more.
-func (p *peers) keep(ctx context.Context, address string, c *contact) {
+// maintain keeps an exchange open until the other entry has been unreachable for long, or is no
+// longer a neighbour.
+func (p *peers) maintain(ctx context.Context, address string, o *outgoingExchange) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	transport.Keep(ctx, func(ctx context.Context) bool {
-		if p.left(c) {
+		if p.isClosing(o) {
 			stop()
 			return false
 		}
-		return p.exchangeWith(ctx, address)
+		return p.dialAndExchange(ctx, address)
 	})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.contacts, address)
+	delete(p.outgoing, address)
 	delete(p.candidates, address)
 }
 
-func (p *peers) exchangeWith(ctx context.Context, address string) bool {
-	if p.exchanging(address) {
-		select { // the other side has opened one
-		case <-time.After(gossipEvery):
+// dialAndExchange opens an exchange with an address and serves it until it ends. If there is one
+// already, it only waits. It reports whether the other entry was reached.
+func (p *peers) dialAndExchange(ctx context.Context, address string) bool {
+	if p.hasExchange(address) {
+		select { // the other side has opened an exchange
+		case <-time.After(gossipInterval):
 		case <-ctx.Done():
 		}
 		return true
 	}
-	dialing, cancel := context.WithTimeout(ctx, transport.DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, transport.DialTimeout)
 	defer cancel()
-	conn, err := p.entry.deps.Transport.Dial(dialing, address)
+	conn, err := p.entry.deps.Transport.Dial(dialCtx, address)
 	if err != nil {
 		return false
 	}
@@ -264,24 +272,24 @@
 	if err != nil {
 		return false
 	}
-	return p.exchange(streamCtx, stop, stream, true)
+	return p.runExchange(streamCtx, stop, stream, true)
 }
 
-func (p *peers) left(c *contact) bool {
+func (p *peers) isClosing(o *outgoingExchange) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return c.leaving
+	return o.closing
 }
 
-// exchanging reports whether an exchange with an entry is open.
-func (p *peers) exchanging(address string) bool {
+// hasExchange reports whether an exchange with an address is open.
+func (p *peers) hasExchange(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open(address)
+	return p.hasExchangeLocked(address)
 }
 
-func (p *peers) open(address string) bool {
-	for x := range p.streams {
+func (p *peers) hasExchangeLocked(address string) bool {
+	for x := range p.exchanges {
 		if x.address == address {
 			return true
 		}
@@ -289,46 +297,48 @@
 	return false
 }
 
-// judgeLost says of neighbours that were lost that they are gone.
-func (p *peers) judgeLost() {
+// declareLostNeighbours declares neighbours gone that have been without an exchange for
+// neighbourTimeout.
+func (p *peers) declareLostNeighbours() {
 	now := time.Now()
 	p.mu.Lock()
 	p.view.Forget(now)
 	var changes []membership.Change
-	for address, last := range p.direct {
-		if p.open(address) {
-			p.direct[address] = now
+	for address, last := range p.lastHeard {
+		if p.hasExchangeLocked(address) {
+			p.lastHeard[address] = now
 			continue
 		}
-		if now.Sub(last) > goneAfter {
-			delete(p.direct, address)
+		if now.Sub(last) > neighbourTimeout {
+			delete(p.lastHeard, address)
 			changes = append(changes, p.view.Lost(now, address))
 		}
 	}
 	for _, ch := range changes {
-		p.spread(ch, nil)
+		p.broadcastLocked(ch, nil)
 	}
 	p.mu.Unlock()
 	for _, ch := range changes {
-		p.report(ch)
+		p.publishChange(ch)
 	}
 }
 
-// spread has a change told on all open exchanges but the one that it came from.
-func (p *peers) spread(ch membership.Change, from *exchange) {
+// broadcastLocked queues the records of a change on all open exchanges except the one that they
+// came from. A newer record of this entry itself is sent there, too.
+func (p *peers) broadcastLocked(ch membership.Change, from *exchange) {
 	if len(ch.Records) == 0 {
 		return
 	}
-	for x := range p.streams {
+	for x := range p.exchanges {
 		if x != from || ch.Records[0].Entry.Address == p.entry.self.Address {
 			x.pending = append(x.pending, ch.Records...)
-			x.signal()
+			x.wakeSender()
 		}
 	}
 }
 
-// report logs a change, and tells agents of new entries.
-func (p *peers) report(ch membership.Change) {
+// publishChange logs a change and announces new entries to the agents.
+func (p *peers) publishChange(ch membership.Change) {
 	for _, e := range ch.Gone {
 		p.entry.log.Info().Str("peer", e.Address).Uint64("incarnation", e.Incarnation).Msg("entry: peer is gone")
 	}
@@ -337,51 +347,52 @@
 			Msg("entry: peer is alive")
 	}
 	if len(ch.Joined) > 0 {
-		p.entry.tellAgents(ch.Joined)
+		p.entry.notifyAgents(ch.Joined)
 	}
 }
 
-// alive returns this entry and those that are taken to be alive.
-func (p *peers) alive() []runs.Entry {
+// aliveEntries returns the live entries, this one first.
+func (p *peers) aliveEntries() []runs.Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Alive()
 }
 
-// self returns what this entry says of itself.
-func (p *peers) self() *runs.Entry {
+// selfEntry returns this entry as it describes itself to others.
+func (p *peers) selfEntry() *runs.Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	self := p.view.Self().Entry
 	return &self
 }
 
-// count returns the number of entries that are alive, this one included.
-func (p *peers) count() int {
+// aliveCount returns the number of live entries, this one included.
+func (p *peers) aliveCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.view.Len()
 }
 
-// heardLately returns the other entries that are alive now: neighbours that have spoken
-// a moment ago, and those that no neighbour of theirs has lost.
-func (p *peers) heardLately() []runs.Entry {
+// recentlyHeard returns the other entries that are alive now: neighbours that have sent a message
+// within the gossip interval, and entries that are not neighbours and that none of their neighbours
+// has declared gone.
+func (p *peers) recentlyHeard() []runs.Entry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	heard := make(map[string]bool)
-	for x := range p.streams {
-		heard[x.address] = heard[x.address] || time.Since(x.heardAt) < gossipEvery
+	for x := range p.exchanges {
+		heard[x.address] = heard[x.address] || time.Since(x.heardAt) < gossipInterval
 	}
 	var list []runs.Entry
 	for _, e := range p.view.Alive()[1:] {
-		if _, neighbour := p.direct[e.Address]; !neighbour || heard[e.Address] {
+		if _, neighbour := p.lastHeard[e.Address]; !neighbour || heard[e.Address] {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// setShort tells whether this entry has too few agents.
+// setShort sets whether this entry is short of agents, and announces a change.
 func (p *peers) setShort(short bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -390,29 +401,29 @@
 		return
 	}
 	p.entry.log.Info().Bool("short", short).Msg("entry: agents asked for")
-	p.spread(ch, nil)
+	p.broadcastLocked(ch, nil)
 	self := ch.Records[0].Entry
-	go p.entry.tellAgents([]runs.Entry{self}) // the caller is the loop itself
+	go p.entry.notifyAgents([]runs.Entry{self}) // the caller is the event loop, which notifyAgents posts to
 }
 
-// exchanges returns the number of open exchanges.
-func (p *peers) exchanges() int {
+// exchangeCount returns the number of open exchanges.
+func (p *peers) exchangeCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.streams)
+	return len(p.exchanges)
 }
 
-// configChanged has all exchanges tell of a new configuration.
-func (p *peers) configChanged() {
-	p.asking.adopted()
-	p.signalAll()
+// handleConfigChange announces a new configuration on all exchanges.
+func (p *peers) handleConfigChange() {
+	p.configFetch.reset()
+	p.wakeExchanges()
 }
 
-// signalAll has all exchanges speak.
-func (p *peers) signalAll() {
+// wakeExchanges has all exchanges send a message at once.
+func (p *peers) wakeExchanges() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for x := range p.streams {
-		x.signal()
+	for x := range p.exchanges {
+		x.wakeSender()
 	}
 }
--- a/service/batch/peers_test.go
+++ b/service/batch/peers_test.go
@@ -20,28 +20,28 @@
 	"peridotpick.example/wire/runs"
 )
 
-// fakeStore gives its documents, or nothing if it is away.
+// fakeStore returns the documents and drains that the test sends to it; all other calls fail.
 type fakeStore struct {
-	noJobs
+	unavailableJobs
 	docs   chan *Document
 	drains chan runs.Drains
 	parsed atomic.Int64
 }
 
-// noJobs is a store of durable jobs that is away.
-type noJobs struct{}
+// unavailableJobs is a JobStore whose calls fail.
+type unavailableJobs struct{}
 
-func (noJobs) Jobs(context.Context) (Changes, error) { return Changes{}, errAway }
-func (noJobs) JobChanges(context.Context, uint64, time.Duration) (Changes, error) {
-	return Changes{}, errAway
+func (unavailableJobs) Jobs(context.Context) (Changes, error) { return Changes{}, errUnavailable }
+func (unavailableJobs) JobChanges(context.Context, uint64, time.Duration) (Changes, error) {
+	return Changes{}, errUnavailable
 }
-func (noJobs) JobParts() int      { return 1 }
-func (noJobs) JobPart(string) int { return 0 }
-func (noJobs) WriteJobs(context.Context, []ledger.Write) ([]ledger.Outcome, error) {
-	return nil, errAway
+func (unavailableJobs) JobParts() int      { return 1 }
+func (unavailableJobs) JobPart(string) int { return 0 }
+func (unavailableJobs) WriteJobs(context.Context, []ledger.Write) ([]ledger.Outcome, error) {
+	return nil, errUnavailable
 }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("store unavailable")
 
 func (s *fakeStore) NextUpdate(ctx context.Context, _ time.Duration) (Update, error) {
 	select {
@@ -50,7 +50,7 @@
 	case view := <-s.drains:
 		return Update{Drains: view}, nil
 	case <-ctx.Done():
-		return Update{}, errAway
+		return Update{}, errUnavailable
 	}
 }
 
@@ -61,11 +61,11 @@
 	return document(uint64(raw[0])), nil
 }
 
-func (s *fakeStore) Register(context.Context, runs.Entry) error { return errAway }
+func (s *fakeStore) Register(context.Context, runs.Entry) error { return errUnavailable }
 func (s *fakeStore) Entries(context.Context, uint64, int) ([]registry.Row, error) {
-	return nil, errAway
+	return nil, errUnavailable
 }
-func (s *fakeStore) Unregister(context.Context, registry.Row) error { return errAway }
+func (s *fakeStore) Unregister(context.Context, registry.Row) error { return errUnavailable }
 
 func document(version uint64) *Document {
 	return &Document{Raw: []byte{byte(version)}, Catalog: catalog.New(version, catalog.Limits{}, nil)}
@@ -81,22 +81,22 @@
 	return l.Addr().String()
 }
 
-// startEntry runs an entry that knows one other by its seed.
+// startEntry runs an entry with the given seeds on a new fakeStore.
 func startEntry(t *testing.T, seeds ...string) (*Entry, *fakeStore) {
 	t.Helper()
 	store := &fakeStore{docs: make(chan *Document, 8), drains: make(chan runs.Drains, 8)}
-	return startOn(t, store, seeds...), store
+	return startEntryOn(t, store, seeds...), store
 }
 
-// startOn runs an entry on a store until the test ends.
-func startOn(t *testing.T, store Store, seeds ...string) *Entry {
+// startEntryOn runs an entry on a store until the test ends.
+func startEntryOn(t *testing.T, store Store, seeds ...string) *Entry {
 	t.Helper()
-	e, _ := launch(t, store, seeds...)
+	e, _ := launchEntry(t, store, seeds...)
 	return e
 }
 
-// launch runs an entry on a store until stop, or until the test ends.
-func launch(t *testing.T, store Store, seeds ...string) (e *Entry, stop func()) {
+// launchEntry runs an entry on a store until stop is called or the test ends.
+func launchEntry(t *testing.T, store Store, seeds ...string) (e *Entry, stop func()) {
 	t.Helper()
 	e, err := New(Settings{
 		Name: "e", Address: freeAddress(t), Seeds: seeds,
@@ -118,6 +118,7 @@
 	return e, stop
 }
 
+// waitFor waits until ok holds. If it does not hold in time, the test fails with what as its message.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
@@ -127,17 +128,17 @@
 	}
 }
 
-func TestEntryThatTheStoreTurnsAwayGetsTheConfigurationFromOthers(t *testing.T) {
+func TestEntryWithoutTheStoreGetsTheConfigurationFromOthers(t *testing.T) {
 	is := is.New(t)
 	a, storeA := startEntry(t)
 	b, storeB := startEntry(t, a.self.Address)
-	c, storeC := startEntry(t, a.self.Address) // meets b only through a
+	c, storeC := startEntry(t, a.self.Address) // knows b only through a
 	storeA.docs <- document(3)
 	waitFor(t, "version 3 did not reach all", func() bool { return b.configVersion() == 3 && c.configVersion() == 3 })
 	storeA.docs <- document(5)
 	waitFor(t, "version 5 did not reach all", func() bool { return b.configVersion() == 5 && c.configVersion() == 5 })
-	storeB.docs <- document(4) // older: never back
+	storeB.docs <- document(4) // an older version must not replace a newer one
 	storeC.docs <- document(7)
 	waitFor(t, "version 7 did not reach all", func() bool { return a.configVersion() == 7 && b.configVersion() == 7 })
-	is.Equal(len(c.peers.alive()), 3)
+	is.Equal(len(c.peers.aliveEntries()), 3)
 }
--- a/service/batch/suspects.go
+++ b/service/batch/suspects.go
@@ -7,26 +7,27 @@
 	"peridotpick.example/wire/runs"
 )
 
-// suspectsPending bounds the suspects that wait for the next word of an exchange. Beyond it
-// the oldest are left out: they are few, or workers are lost for another cause.
-const suspectsPending = 64
+// maxPendingSuspects is the maximum number of suspects that wait for the next message of an
+// exchange; the oldest beyond it are dropped. Real suspects are few. If there are more, workers are
+// being lost for another reason.
+const maxPendingSuspects = 64
 
-// tellSuspects has the other entries told of tasks that crash workers.
-func (p *peers) tellSuspects(list []runs.Suspect) {
+// broadcastSuspects sends tasks suspected of crashing workers to the other entries.
+func (p *peers) broadcastSuspects(list []runs.Suspect) {
 	if len(list) == 0 {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for x := range p.streams {
+	for x := range p.exchanges {
 		x.suspects = append(x.suspects, list...)
-		x.suspects = x.suspects[max(len(x.suspects)-suspectsPending, 0):]
-		x.signal()
+		x.suspects = x.suspects[max(len(x.suspects)-maxPendingSuspects, 0):]
+		x.wakeSender()
 	}
 }
 
-// hearSuspects takes what another entry says of tasks that crash workers.
-func (p *peers) hearSuspects(list []runs.Suspect) {
+// receiveSuspects hands suspects that another entry has sent to the core.
+func (p *peers) receiveSuspects(list []runs.Suspect) {
 	if len(list) == 0 {
 		return
 	}
--- a/service/batch/suspects_test.go
+++ b/service/batch/suspects_test.go
@@ -8,13 +8,14 @@
 	"peridotpick.example/wire/runs"
 )
 
-// TestSuspectsReachAllEntries: a caller without an answer may send its job again to any.
+// TestSuspectsReachAllEntries checks that every entry learns of a suspect, because a caller that
+// got no answer may send its job again to any of them.
 func TestSuspectsReachAllEntries(t *testing.T) {
-	entries, _ := startMany(t, 9)
-	waitFor(t, "all know all", allKnow(entries, len(entries)))
-	entries[0].peers.hearSuspects([]runs.Suspect{{Task: "t", Lost: 1, Blamed: 1}})
+	entries, _ := startEntries(t, 9)
+	waitFor(t, "some entries do not know all others", allKnowCount(entries, len(entries)))
+	entries[0].peers.receiveSuspects([]runs.Suspect{{Task: "t", Lost: 1, Blamed: 1}})
 	for _, e := range entries {
-		waitFor(t, "the suspect is known", func() bool {
+		waitFor(t, "an entry does not know the suspect", func() bool {
 			known := make(chan bool, 1)
 			e.post(func(c *core.Core, _ time.Time) { known <- c.Suspected("t") })
 			return <-known
--- a/service/batch/waits.go
+++ b/service/batch/waits.go
@@ -7,89 +7,91 @@
 	"time"
 )
 
-// Each entry keeps two calls waiting at the store, for changes of the operator's wishes and
-// of durable jobs. Such a call returns at once when there is a change; how long it may wait
-// without one decides what a fleet at rest costs the store, and how soon a connection that
-// went silent is found. Other entries pass changes of the operator's wishes on, and how
-// old their views are; so the calls of a large fleet may wait longer, as long as this
-// entry hears the others.
+// Each entry keeps two long polls open at the store: one for changes of the operator state and one
+// for changes of durable jobs. A poll returns at once when there is a change. The longest wait
+// without a change decides how many calls an idle fleet makes to the store, and how soon a dead
+// connection is detected. Entries also pass on changes of the operator state, and the age of their
+// view, to each other. In a large fleet polls may therefore wait longer, as long as this entry has
+// exchanges with others.
 
 const (
-	// waitShort is how long a call waits in a small fleet, or where no other entry is heard:
-	// a connection that went silent is found after that, within the bound for new
-	// configurations.
-	waitShort = 1500 * time.Millisecond
-	// waitEach is the time between two confirmations of the operator's wishes anywhere in
-	// the fleet: they reach all entries within a few exchanges.
-	waitEach = 30 * time.Millisecond
-	// waitLong keeps what an entry that loses all others may miss within the bound, too.
-	waitLong = 6 * time.Second
-	// followShort is how long a look at durable jobs waits while there are some.
-	followShort = time.Second
+	// minPollWait is the wait in a small fleet, or without exchanges with other entries. A dead
+	// connection is detected after this time, which is within the time in which a new configuration
+	// must be in force.
+	minPollWait = 1500 * time.Millisecond
+	// pollWaitPerEntry is the intended time between two polls of the operator state that return
+	// anywhere in the fleet. What they confirm reaches all entries after a few exchanges.
+	pollWaitPerEntry = 30 * time.Millisecond
+	// maxPollWait keeps the delay of a new configuration within its limit also for an entry that
+	// has just lost all its exchanges.
+	maxPollWait = 6 * time.Second
+	// jobPollWait is the wait for changes of durable jobs while there are any.
+	jobPollWait = time.Second
 )
 
-// storeWait is how long a call may wait in a fleet of a size. The part of it is drawn from
-// draw, which is from 0 up to 1: entries that have started at once would confirm what they
-// know at once, too, and nobody in between.
-func storeWait(entries, exchanges int, draw float64) time.Duration {
+// pollWait returns how long a poll may wait, for the number of live entries and of open exchanges.
+// It is between half of the longest wait and all of it, as draw is between 0 and 1. Without the
+// random part, entries that have started together would all poll at the same times, and nothing
+// would confirm the operator state in between.
+func pollWait(entries, exchanges int, draw float64) time.Duration {
 	if exchanges == 0 {
-		return waitShort
+		return minPollWait
 	}
-	longest := min(time.Duration(entries)*waitEach, waitLong)
-	return max(time.Duration((1+draw)/2*float64(longest)), waitShort)
+	longest := min(time.Duration(entries)*pollWaitPerEntry, maxPollWait)
+	return max(time.Duration((1+draw)/2*float64(longest)), minPollWait)
 }
 
-// storeWait is how long this entry's next call may wait.
-func (e *Entry) storeWait() time.Duration {
-	return storeWait(e.peers.count(), e.peers.exchanges(), rand.Float64())
+// nextPollWait returns how long the next poll of this entry may wait.
+func (e *Entry) nextPollWait() time.Duration {
+	return pollWait(e.peers.aliveCount(), e.peers.exchangeCount(), rand.Float64())
 }
 
-// storeWaits ends waiting calls early that should not wait as long any more.
-type storeWaits struct {
+// pollSet has the waiting polls, so that they can be cancelled when they should wait less long.
+type pollSet struct {
 	mu     sync.Mutex
-	cancel map[*waitingCall]context.CancelFunc
-	// alone is set while no other entry is heard.
+	cancel map[*pollID]context.CancelFunc
+	// alone is set while there is no exchange with another entry.
 	alone bool
 }
 
-// waitingCall names one waiting call.
-type waitingCall struct{ _ byte } // not empty: its address tells it apart
+// pollID identifies a waiting poll by its address.
+type pollID struct{ _ byte } // not empty, so that each has an address of its own
 
-// begin registers a call that waits. done must be called at its end.
-func (w *storeWaits) begin(ctx context.Context) (call context.Context, done func()) {
+// begin registers a poll and returns its context. done must be called when the poll has returned.
+func (s *pollSet) begin(ctx context.Context) (call context.Context, done func()) {
 	call, cancel := context.WithCancel(ctx)
-	id := &waitingCall{}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.cancel == nil {
-		w.cancel = make(map[*waitingCall]context.CancelFunc)
+	id := &pollID{}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.cancel == nil {
+		s.cancel = make(map[*pollID]context.CancelFunc)
 	}
-	w.cancel[id] = cancel
+	s.cancel[id] = cancel
 	return call, func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		delete(w.cancel, id)
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		delete(s.cancel, id)
 		cancel()
 	}
 }
 
-// end ends all waiting calls; they are made anew.
-func (w *storeWaits) end() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, cancel := range w.cancel {
+// cancelAll cancels all waiting polls. Their callers start new ones.
+func (s *pollSet) cancelAll() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, cancel := range s.cancel {
 		cancel()
 	}
 }
 
-// judge ends the waiting calls when the last exchange with another entry is lost.
-func (w *storeWaits) judge(exchanges int) {
+// setExchangeCount cancels the waiting polls when the last exchange is lost.
+func (s *pollSet) setExchangeCount(exchanges int) {
 	alone := exchanges == 0
-	w.mu.Lock()
-	lost := alone && !w.alone
-	w.alone = alone
-	w.mu.Unlock()
+	s.mu.Lock()
+	lost := alone && !s.alone
+	s.alone = alone
+	s.mu.Unlock()
 	if lost {
-		w.end()
+		s.cancelAll()
 	}
 }
--- a/service/batch/waits_test.go
+++ b/service/batch/waits_test.go
@@ -10,18 +10,18 @@
 	"github.com/matryer/is"
 )
 
-// TestCallsToTheStoreAtRestDoNotGrowWithTheFleet counts the waiting calls that return a
-// second, of all entries together.
-func TestCallsToTheStoreAtRestDoNotGrowWithTheFleet(t *testing.T) {
+// TestPollsOfAnIdleFleetDoNotGrowWithItsSize checks the number of polls of all entries together
+// that return per second.
+func TestPollsOfAnIdleFleetDoNotGrowWithItsSize(t *testing.T) {
 	is := is.New(t)
-	rate := func(entries int) float64 { return float64(entries) / storeWait(entries, 8, 0.5).Seconds() }
-	is.Equal(storeWait(10, 4, 0.9), waitShort)
+	rate := func(entries int) float64 { return float64(entries) / pollWait(entries, 8, 0.5).Seconds() }
+	is.Equal(pollWait(10, 4, 0.9), minPollWait)
 	is.True(rate(50) <= 45 && rate(200) <= 45)
-	is.Equal(storeWait(10_000, 8, 1), waitLong)
+	is.Equal(pollWait(10_000, 8, 1), maxPollWait)
 }
 
-// TestSomeEntryConfirmsAtAnyTime: agents ask the store themselves once no entry has
-// confirmed its view for a while, so entries that have started at once must not go on in step.
+// TestSomeEntryConfirmsAtAnyTime guards against polls in step after all entries have started at
+// once: agents ask the store themselves if no entry has confirmed its view for a while.
 func TestSomeEntryConfirmsAtAnyTime(t *testing.T) {
 	is := is.New(t)
 	const entries, until = 184, 60 * time.Second
@@ -29,7 +29,7 @@
 	var confirmed []time.Duration
 	for range entries {
 		for at := time.Duration(0); at < until; {
-			at += storeWait(entries, 8, draw.Float64())
+			at += pollWait(entries, 8, draw.Float64())
 			confirmed = append(confirmed, at)
 		}
 	}
@@ -38,23 +38,24 @@
 	for i := 1; i < len(confirmed) && confirmed[i] < until; i++ {
 		longest = max(longest, confirmed[i]-confirmed[i-1])
 	}
-	is.True(longest < time.Second) // what is left to the exchanges of the three that agents allow
+	is.True(longest < time.Second) // the rest of the three seconds that agents allow is left for the exchanges
 }
 
-// TestEntryThatHearsNobodyAsksTheStoreMoreOften: nobody else would tell it of a change.
-func TestEntryThatHearsNobodyAsksTheStoreMoreOften(t *testing.T) {
+// TestEntryWithoutExchangesPollsMoreOften checks that an entry that no other entry can tell of a
+// change uses the shortest wait.
+func TestEntryWithoutExchangesPollsMoreOften(t *testing.T) {
 	is := is.New(t)
-	is.Equal(storeWait(200, 0, 1), waitShort)
-	var w storeWaits
-	w.judge(3)
-	call, done := w.begin(context.Background())
+	is.Equal(pollWait(200, 0, 1), minPollWait)
+	var s pollSet
+	s.setExchangeCount(3)
+	call, done := s.begin(context.Background())
 	defer done()
-	w.judge(2)
+	s.setExchangeCount(2)
 	is.NoErr(call.Err())
-	w.judge(0)
+	s.setExchangeCount(0)
 	is.True(call.Err() != nil)
-	again, ended := w.begin(context.Background())
+	again, ended := s.begin(context.Background())
 	defer ended()
-	w.judge(0) // it is alone still
+	s.setExchangeCount(0) // it already has no exchanges
 	is.NoErr(again.Err())
 }
