--- a/core/ledger/write.go
+++ b/core/ledger/write.go
@@ -123,14 +123,14 @@
 	if !j.needsStart || !c.isConfirmed() || !c.isOwned(j) || j.row.State.Ended() {
 		return
 	}
-	own := Own{Job: j.name, Row: j.row}
+	acquired := Own{Job: j.name, Row: j.row}
 	if j.startDelay > 0 {
-		own.SafeAt = c.now.Add(j.startDelay)
+		acquired.SafeAt = c.now.Add(j.startDelay)
 	}
 	j.needsStart = false
 	j.startDelay = 0
 	j.running = true
-	c.out.Owns = append(c.out.Owns, own)
+	c.out.Owns = append(c.out.Owns, acquired)
 }
 
 // handleRowChange acts on a new content of a job's row.
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -48,7 +48,7 @@
 func Key(address string) string { return From(Place(address)) + "/" + address }
 
 // From returns the first key at a ring position.
-func From(place uint64) string { return fmt.Sprintf("%016x", place) }
+func From(position uint64) string { return fmt.Sprintf("%016x", position) }
 
 // SearchPlace returns the ring position from which an agent reads at its given attempt to find
 // entries.
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -25,13 +25,13 @@
 }
 
 // readFrom returns up to limit rows from a ring position on, across the end of the ring.
-func (s *fakeStore) readFrom(place uint64, limit int) []Row {
+func (s *fakeStore) readFrom(position uint64, limit int) []Row {
 	keys := make([]string, 0, len(s.rows))
 	for k := range s.rows {
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
-	at := sort.SearchStrings(keys, From(place))
+	at := sort.SearchStrings(keys, From(position))
 	var list []Row
 	for n := range min(limit, len(keys)) {
 		list = append(list, s.rows[keys[(at+n)%len(keys)]])
@@ -141,9 +141,9 @@
 	w := NewWatch(self)
 	_, missing := w.Read(nil, nil)
 	is.True(missing)
-	former := self
-	former.Incarnation = 99
-	_, missing = w.Read([]Row{{former, 1}}, nil)
+	previous := self
+	previous.Incarnation = 99
+	_, missing = w.Read([]Row{{previous, 1}}, nil)
 	is.True(missing)
 	_, missing = w.Read([]Row{{self, 1}}, nil)
 	is.True(!missing)
--- a/service/batch/asking.go
+++ b/service/batch/configfetch.go
@@ -37,33 +37,33 @@
 // slowest in use, which is well below exchangeTimeout.
 const chunkSize = 32 << 10
 
-// request reports whether to ask an entry with version theirs for its configuration, and from which
-// byte on. Nothing is requested while the store is delivering a document, since a second copy would
-// slow it down.
-func (f *configFetch) request(now time.Time, own, theirs uint64, arriving bool) (want bool, from int) {
+// request reports whether to ask an entry that has version remoteVersion for its configuration, and
+// from which byte on. Nothing is requested while the store is delivering a document, since a second
+// copy would slow it down.
+func (f *configFetch) request(now time.Time, ownVersion, remoteVersion uint64, arriving bool) (want bool, from int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.isDue(now, own, theirs) || arriving {
+	if !f.isDue(now, ownVersion, remoteVersion) || arriving {
 		return false, 0
 	}
 	f.requestedAt = now
-	if f.version != theirs {
-		f.version, f.received = theirs, nil
+	if f.version != remoteVersion {
+		f.version, f.received = remoteVersion, nil
 	}
 	return true, len(f.received)
 }
 
-// isDue reports whether another entry may be asked for version theirs: the store has had its head
+// isDue reports whether another entry may be asked for remoteVersion: the store has had its head
 // start, and no request is outstanding.
-func (f *configFetch) isDue(now time.Time, own, theirs uint64) bool {
-	if theirs <= own {
+func (f *configFetch) isDue(now time.Time, ownVersion, remoteVersion uint64) bool {
+	if remoteVersion <= ownVersion {
 		return false
 	}
 	if f.behindSince.IsZero() {
 		f.behindSince = now
 	}
 	delay := storeHeadStart
-	if own == 0 {
+	if ownVersion == 0 {
 		delay = 0 // nothing can be served without a configuration
 	}
 	return now.Sub(f.behindSince) >= delay && now.Sub(f.requestedAt) >= requestTimeout
--- a/service/batch/asking_test.go
+++ b/service/batch/configfetch_test.go
@@ -8,8 +8,8 @@
 )
 
 // requestsNow is request without the offset, while the store is not delivering a document.
-func (f *configFetch) requestsNow(now time.Time, own, theirs uint64) bool {
-	want, _ := f.request(now, own, theirs, false)
+func (f *configFetch) requestsNow(now time.Time, ownVersion, remoteVersion uint64) bool {
+	want, _ := f.request(now, ownVersion, remoteVersion, false)
 	return want
 }
 
--- a/service/batch/entry.go
+++ b/service/batch/entry.go
@@ -63,7 +63,7 @@
 	// Unregister removes a row of the registry, unless it has changed since it was read.
 	Unregister(ctx context.Context, r registry.Row) error
 	// Entries returns up to limit rows of the registry from a ring position on (package registry).
-	Entries(ctx context.Context, place uint64, limit int) ([]registry.Row, error)
+	Entries(ctx context.Context, position uint64, limit int) ([]registry.Row, error)
 	JobStore
 }
 
