--- /dev/null
+++ b/service/batch/partitionwriter.go
@@ -0,0 +1,162 @@
+package batch
+
+import (
+	"context"
+	"time"
+
+	"golang.org/x/time/rate"
+
+	core "peridotpick.example/core/batch"
+	"peridotpick.example/core/ledger"
+)
+
+// partitionWriter carries out the writes to one partition of the store, several in a transaction. A
+// transaction without an answer is repeated unchanged until its result is known. That is safe
+// because the writes are conditional.
+type partitionWriter struct {
+	entry  *Entry
+	writes chan ledger.Write
+	// limiter limits the transactions of this entry to its share.
+	limiter *rate.Limiter
+	// timeout is the timeout of the next transaction.
+	timeout time.Duration
+}
+
+const (
+	// writeQueueSize is the maximum number of queued writes.
+	writeQueueSize = 8192
+	// maxWritesPerTransaction follows from the store's limit of a hundred conditions and changes
+	// together.
+	maxWritesPerTransaction = 45
+	// The timeout of a transaction is timeoutFactor times the duration of the previous one, within
+	// bounds. With a fixed timeout, a store that is slow under load would get each transaction
+	// several times and become slower still.
+	timeoutFactor         = 4
+	minTransactionTimeout = 300 * time.Millisecond
+	maxTransactionTimeout = 5 * time.Second
+	// transactionRetryPause is the pause after a transaction that was rejected or got no answer.
+	transactionRetryPause = 60 * time.Millisecond
+	// maxUrgentAttempts is the number of rejected attempts after which an urgent write fails.
+	maxUrgentAttempts = 3
+)
+
+func newPartitionWriter(e *Entry, limiter *rate.Limiter) *partitionWriter {
+	return &partitionWriter{entry: e, writes: make(chan ledger.Write, writeQueueSize), limiter: limiter, timeout: minTransactionTimeout}
+}
+
+// enqueue queues a write. If the queue is full, the write is reported as rejected; it was never
+// sent.
+func (p *partitionWriter) enqueue(w ledger.Write) {
+	select {
+	case p.writes <- w:
+	default:
+		go p.report([]ledger.Write{w}, []ledger.Outcome{{Fate: ledger.NotDone}})
+	}
+}
+
+// run carries out queued writes until ctx ends.
+func (p *partitionWriter) run(ctx context.Context) error {
+	for {
+		group, ok := p.nextGroup(ctx)
+		if !ok {
+			return nil
+		}
+		p.commit(ctx, group)
+	}
+}
+
+// nextGroup waits for a write and for the limiter, and returns all writes that are queued by then,
+// up to maxWritesPerTransaction. It returns false once ctx has ended.
+func (p *partitionWriter) nextGroup(ctx context.Context) ([]ledger.Write, bool) {
+	var group []ledger.Write
+	select {
+	case w := <-p.writes:
+		group = append(group, w)
+	case <-ctx.Done():
+		return nil, false
+	}
+	if p.limiter.Wait(ctx) != nil {
+		return nil, false
+	}
+	for len(group) < maxWritesPerTransaction {
+		select {
+		case w := <-p.writes:
+			group = append(group, w)
+		default:
+			return group, true
+		}
+	}
+	return group, true
+}
+
+// commit repeats a group of writes until the result of each is known.
+func (p *partitionWriter) commit(ctx context.Context, group []ledger.Write) {
+	certain := true // no attempt of unknown result may still be carried out
+	for attempt := 1; len(group) > 0 && ctx.Err() == nil; attempt++ {
+		outcomes, err := p.transact(ctx, group)
+		if err != nil {
+			p.entry.log.Warn().Err(err).Int("writes", len(group)).Msg("entry: the fate of writes to the store is not known")
+			certain = false
+			sleep(ctx, transactionRetryPause)
+			continue
+		}
+		again := p.reportFinal(group, outcomes, certain && attempt >= maxUrgentAttempts && allRejected(outcomes))
+		if len(again) == len(group) {
+			sleep(ctx, transactionRetryPause)
+		}
+		group = again
+	}
+}
+
+// transact makes one transaction and adapts the timeout to its duration.
+func (p *partitionWriter) transact(ctx context.Context, group []ledger.Write) ([]ledger.Outcome, error) {
+	callCtx, cancel := context.WithTimeout(ctx, p.timeout)
+	defer cancel()
+	began := time.Now()
+	outcomes, err := p.entry.deps.Store.WriteJobs(callCtx, group)
+	if err != nil {
+		p.timeout = min(2*p.timeout, maxTransactionTimeout)
+		return nil, err
+	}
+	p.timeout = min(max(timeoutFactor*time.Since(began), minTransactionTimeout), maxTransactionTimeout)
+	return outcomes, nil
+}
+
+// reportFinal reports the results that are final and returns the writes to repeat. Rejected writes
+// are repeated, such as the other writes of a group after a conflict, unless giveUp is set and they
+// are urgent.
+func (p *partitionWriter) reportFinal(group []ledger.Write, outcomes []ledger.Outcome, giveUp bool) []ledger.Write {
+	var again, final []ledger.Write
+	var results []ledger.Outcome
+	for i, w := range group {
+		if outcomes[i].Fate == ledger.NotDone && !(giveUp && w.Urgent) {
+			again = append(again, w)
+			continue
+		}
+		final = append(final, w)
+		results = append(results, outcomes[i])
+	}
+	p.report(final, results)
+	return again
+}
+
+func allRejected(outcomes []ledger.Outcome) bool {
+	for _, o := range outcomes {
+		if o.Fate != ledger.NotDone {
+			return false
+		}
+	}
+	return true
+}
+
+// report hands the results of writes to the ledger, in the event loop.
+func (p *partitionWriter) report(writes []ledger.Write, outcomes []ledger.Outcome) {
+	if len(writes) == 0 {
+		return
+	}
+	p.entry.post(func(_ *core.Core, now time.Time) {
+		for i, w := range writes {
+			p.entry.durable.ledger.Written(now, w, outcomes[i])
+		}
+	})
+}
--- /dev/null
+++ b/service/batch/partitionwriter_test.go
@@ -0,0 +1,94 @@
+package batch
+
+import (
+	"context"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/matryer/is"
+	"golang.org/x/time/rate"
+
+	"peridotpick.example/core/ledger"
+)
+
+// scriptedStore is a store that answers its transactions with the functions of a script in turn;
+// the last one answers all further transactions.
+type scriptedStore struct {
+	*fakeStore
+	mu     sync.Mutex
+	groups [][]ledger.Write
+	script []func(writes []ledger.Write) ([]ledger.Outcome, error)
+}
+
+func (s *scriptedStore) WriteJobs(_ context.Context, writes []ledger.Write) ([]ledger.Outcome, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.groups = append(s.groups, writes)
+	answer := s.script[min(len(s.groups), len(s.script))-1]
+	return answer(writes)
+}
+
+func outcomeForAll(fate ledger.Fate) func([]ledger.Write) ([]ledger.Outcome, error) {
+	return func(writes []ledger.Write) ([]ledger.Outcome, error) {
+		outcomes := make([]ledger.Outcome, len(writes))
+		for i := range outcomes {
+			outcomes[i].Fate = fate
+		}
+		return outcomes, nil
+	}
+}
+
+func noAnswer([]ledger.Write) ([]ledger.Outcome, error) { return nil, errUnavailable }
+
+// commitGroup commits a group of writes against a scripted store and returns the transactions that
+// were made.
+func commitGroup(t *testing.T, group []ledger.Write, script ...func([]ledger.Write) ([]ledger.Outcome, error)) [][]ledger.Write {
+	t.Helper()
+	s := &scriptedStore{fakeStore: &fakeStore{docs: make(chan *Document)}, script: script}
+	e := startEntryOn(t, s)
+	newPartitionWriter(e, rate.NewLimiter(rate.Inf, 1)).commit(context.Background(), group)
+	return s.groups
+}
+
+func TestTransactionOfUnknownResultIsRepeatedUnchanged(t *testing.T) {
+	is := is.New(t)
+	group := []ledger.Write{{Job: "a", Urgent: true}, {Job: "b"}}
+	made := commitGroup(t, group, noAnswer, noAnswer, outcomeForAll(ledger.NotDone), outcomeForAll(ledger.NotDone), outcomeForAll(ledger.NotDone), outcomeForAll(ledger.Applied))
+	// A write that may have been carried out is never given up, however often it is rejected.
+	is.Equal(len(made), 6)
+	for _, m := range made {
+		is.Equal(m, group)
+	}
+}
+
+func TestOnlyUrgentWritesFailAfterRejections(t *testing.T) {
+	is := is.New(t)
+	rejected := outcomeForAll(ledger.NotDone)
+	made := commitGroup(t, []ledger.Write{{Job: "a", Urgent: true}, {Job: "b"}}, rejected, rejected, rejected, rejected, outcomeForAll(ledger.Applied))
+	is.Equal(len(made), 5)
+	is.Equal(made[3], []ledger.Write{{Job: "b"}})
+}
+
+func TestOtherWritesOfAGroupAreRepeatedAfterAConflict(t *testing.T) {
+	is := is.New(t)
+	conflict := func([]ledger.Write) ([]ledger.Outcome, error) {
+		return []ledger.Outcome{{Fate: ledger.Conflict}, {Fate: ledger.NotDone}}, nil
+	}
+	made := commitGroup(t, []ledger.Write{{Job: "a"}, {Job: "b"}}, conflict, outcomeForAll(ledger.Applied))
+	is.Equal(len(made), 2)
+	is.Equal(made[1], []ledger.Write{{Job: "b"}})
+}
+
+func TestTransactionTimeoutAdaptsToTheStore(t *testing.T) {
+	is := is.New(t)
+	e, _ := startEntry(t)
+	p := newPartitionWriter(e, rate.NewLimiter(rate.Inf, 1))
+	_, err := p.transact(context.Background(), nil) // the store of this test is unavailable
+	is.True(err != nil)
+	is.Equal(p.timeout, 2*minTransactionTimeout)
+	for range 10 {
+		_, _ = p.transact(context.Background(), nil)
+	}
+	is.Equal(p.timeout, time.Duration(maxTransactionTimeout))
+}
