--- a/service/runner/agent.go
+++ b/service/runner/agent.go
@@ -1,9 +1,10 @@
-// Package runner wires the decision core of an agent on a leased worker to
-// sockets, timers and logs.
+// Package runner connects the decision core of an agent on a leased worker to sockets, timers and
+// logs.
 //
-// Goroutines by duty: the loop owns the core; one looks at the worker; a few
-// carry orders to it; each entry has a connector with a reader and a writer. They
-// meet at bounded rings, and the loop never blocks on any of them.
+// The event loop owns the core. Other goroutines poll the worker, send orders to it, choose the
+// entries to work with, and maintain one link per chosen entry with a reader and a writer. They
+// exchange data with the event loop through bounded queues, and the event loop never blocks on
+// any of them.
 package runner
 
 import (
@@ -25,26 +26,30 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Worker carries orders to the worker beside the agent. Its calls return within
-// a bounded time, also when the worker does not answer.
+// Worker is a client of the worker beside the agent. Its calls return within a bounded time, even
+// if the worker does not answer.
 type Worker interface {
+	// Order sends a start or a stop.
 	Order(core.Order) core.Answer
-	Look(core.Look) (core.Answer, core.Listing)
+	// Poll renews the lease and lists the running and the ended runs. The worker holds its
+	// answer back until a run ends, at most for Look.Wait.
+	Poll(core.Look) (core.Answer, core.Listing)
 }
 
-// Registry keeps what agents and entries must find again.
+// Registry is the part of the platform's store that an agent uses.
 type Registry interface {
-	// Entries lists registered entries from a place on the ring on, up to a number.
+	// Entries lists at most limit registered entries, in the order of the hash ring of their
+	// addresses, beginning at a position on the ring.
 	Entries(ctx context.Context, place uint64, limit int) ([]registry.Row, error)
-	// Remember keeps what a worker said of itself, under its agent's name.
-	Remember(ctx context.Context, w runs.Worker) error
-	// Recall returns what was remembered last; its ID is empty if nothing was.
-	Recall(ctx context.Context, agent string) (runs.Worker, error)
+	// SaveWorker stores a worker's last announcement under its agent's name.
+	SaveWorker(ctx context.Context, w runs.Worker) error
+	// LoadWorker returns the stored announcement; its ID is empty if there is none.
+	LoadWorker(ctx context.Context, agent string) (runs.Worker, error)
 	// Drains reads which data centres the operator has drained.
 	Drains(ctx context.Context) (runs.Drains, error)
 }
 
-// Deps are what an agent needs from outside.
+// Deps are the dependencies of an Agent.
 type Deps struct {
 	Logs      *logs.Sink
 	Transport *transport.Transport
@@ -53,82 +58,84 @@
 	Metrics   metrics.Registry
 }
 
-// Settings of an agent.
+// Settings configure an Agent.
 type Settings struct {
-	// Name is the agent's instance.
+	// Name is the name of the agent's instance.
 	Name string
 	Core core.Settings
-	// DataCentre is the agent's own; its entries are worked with first.
+	// DataCentre is the agent's data centre; entries in it are preferred.
 	DataCentre string
-	// Seeds are IP:port of entries; they may be stale.
+	// Seeds are the IP:port of some entries; they may be out of date.
 	Seeds []string
-	// DrainTimeout bounds the time that runs have to end at SIGTERM.
+	// DrainTimeout is the longest time that Run waits for runs to end once its context has
+	// ended.
 	DrainTimeout time.Duration
 }
 
-// Sizes of the rings and numbers of goroutines.
+// Capacities of the queues, in elements, and the number of goroutines that send starts.
 const (
-	eventRing  = 4096
-	orderRing  = 256
-	linkRing   = 1024
-	startLanes = 4
+	eventQueueSize = 4096
+	orderQueueSize = 256
+	sendQueueSize  = 1024
+	startSenders   = 4
 )
 
-// Times of the loop.
+// Intervals and delays of the event loop and of draining.
 const (
-	// tickBusy is the granularity of leases while something runs.
-	tickBusy = 20 * time.Millisecond
-	// tickIdle keeps an idle agent's processor time low.
-	tickIdle = 200 * time.Millisecond
-	// lastEnds is the time given to the last ends to reach their entries.
-	lastEnds = 20 * time.Millisecond
-	// leaveNotice is the time given to entries to learn that the agent leaves.
-	leaveNotice = 100 * time.Millisecond
+	// busyTickInterval is the granularity at which leases expire while there are runs.
+	busyTickInterval = 20 * time.Millisecond
+	// idleTickInterval is longer, so that an idle agent uses little CPU.
+	idleTickInterval = 200 * time.Millisecond
+	// finalSendDelay is the time in which the ends of the last runs are sent to their entries.
+	finalSendDelay = 20 * time.Millisecond
+	// drainNoticeDelay is the time in which entries learn that the agent is draining.
+	drainNoticeDelay = 100 * time.Millisecond
 )
 
-// Agent is one running agent.
+// Agent is the process beside one worker. New creates it, Run serves until it has drained.
 type Agent struct {
-	settings Settings
-	deps     Deps
-	log      zerolog.Logger
-	budget   *logs.Budget
-	core     *core.Core
-	events   *eventloop.Ring[*core.Core]
-	starts   chan core.Order
-	stops    chan core.Order
-	lookNow  chan struct{}
-	links    map[core.LinkID]*link
-	// remembered is the worker as the registry has it; the announcements' goroutine owns it.
-	remembered runs.Worker
-	dir        *directory
-	drains     drainsWatch
-	traffic    *telemetry.Traffic
-	work       context.Context
-	abort      context.CancelFunc
+	settings    Settings
+	deps        Deps
+	log         zerolog.Logger
+	logBudget   *logs.Budget
+	core        *core.Core
+	events      *eventloop.Ring[*core.Core]
+	startOrders chan core.Order
+	stopOrders  chan core.Order
+	pollDue     chan struct{}
+	links       map[core.LinkID]*link
+	// savedWorker is the announcement that was last sent to the registry. Only the goroutine
+	// that calls WorkerAnnounced uses it.
+	savedWorker  runs.Worker
+	directory    *directory
+	sharedDrains sharedDrains
+	traffic      *telemetry.Traffic
+	workCtx      context.Context
+	cancelWork   context.CancelFunc
 }
 
 // New returns an agent; Run starts it.
 func New(s Settings, deps Deps) *Agent {
 	a := &Agent{
-		settings: s, deps: deps, log: deps.Logs.For(logs.Agent), budget: logs.NewBudget(linesPerSecond), core: core.New(s.Core),
-		starts: make(chan core.Order, orderRing),
-		stops:  make(chan core.Order, orderRing), lookNow: make(chan struct{}, 1),
+		settings: s, deps: deps, log: deps.Logs.For(logs.Agent), logBudget: logs.NewBudget(logLinesPerSecond), core: core.New(s.Core),
+		startOrders: make(chan core.Order, orderQueueSize),
+		stopOrders:  make(chan core.Order, orderQueueSize), pollDue: make(chan struct{}, 1),
 		links: make(map[core.LinkID]*link), traffic: telemetry.NewTraffic("entries", deps.Metrics),
 	}
-	a.work, a.abort = context.WithCancel(context.Background())
-	a.events = eventloop.New[*core.Core](eventRing, eventloop.Batch, a.work.Done())
-	a.dir = newDirectory(a)
+	a.workCtx, a.cancelWork = context.WithCancel(context.Background())
+	a.events = eventloop.New[*core.Core](eventQueueSize, eventloop.Batch, a.workCtx.Done())
+	a.directory = newDirectory(a)
 	return a
 }
 
-// Run serves until ctx ends, then lets what runs end.
+// Run serves until ctx ends, then drains: it waits for runs to end, at most DrainTimeout.
 func (a *Agent) Run(ctx context.Context) error {
 	a.log.Info().Str("agent", a.settings.Name).Strs("seeds", a.settings.Seeds).Msg("agent: started")
-	duties := []lifecycle.Duty{a.loop, a.look, a.dir.run, a.recall, a.confirmDrains, a.carry(a.stops)}
-	for range startLanes {
-		duties = append(duties, a.carry(a.starts))
+	routines := []lifecycle.Duty{a.runEventLoop, a.pollWorker, a.directory.run, a.loadWorker, a.confirmDrains, a.orderSender(a.stopOrders)}
+	for range startSenders {
+		routines = append(routines, a.orderSender(a.startOrders))
 	}
-	err := lifecycle.Run(ctx, lifecycle.Process{Work: a.work, Abort: a.abort, Drain: a.drain}, duties...)
+	err := lifecycle.Run(ctx, lifecycle.Process{Work: a.workCtx, Abort: a.cancelWork, Drain: a.drain}, routines...)
 	a.log.Info().Str("agent", a.settings.Name).Msg("agent: stopped")
 	return err
 }
@@ -136,28 +143,29 @@
 func (a *Agent) drain(work context.Context) {
 	a.log.Info().Str("agent", a.settings.Name).Msg("agent: draining")
 	a.post(func(c *core.Core, now time.Time) { c.Drain(now) })
-	time.Sleep(leaveNotice)
+	time.Sleep(drainNoticeDelay)
 	if lifecycle.AwaitIdle(work, a.settings.DrainTimeout, a.isIdle) {
-		time.Sleep(lastEnds)
+		time.Sleep(finalSendDelay)
 		return
 	}
 	a.log.Warn().Str("agent", a.settings.Name).Msg("agent: drain timed out, runs are left to their leases")
 }
 
-// isIdle asks the loop whether nothing runs.
+// isIdle asks the event loop whether there are no runs.
 func (a *Agent) isIdle() bool {
 	idle := make(chan bool, 1)
 	a.post(func(c *core.Core, _ time.Time) { idle <- c.Idle() })
 	select {
-	case is := <-idle:
-		return is
-	case <-a.work.Done():
+	case isIdle := <-idle:
+		return isIdle
+	case <-a.workCtx.Done():
 		return false
 	}
 }
 
-// Announced takes the worker's word about itself.
-func (a *Agent) Announced(info runs.Worker, clock int64) {
+// WorkerAnnounced handles an announcement of the worker. clock is the worker's clock in ms. Calls
+// must not overlap.
+func (a *Agent) WorkerAnnounced(info runs.Worker, clock int64) {
 	if info.DataCentre == "" {
 		info.DataCentre = a.settings.DataCentre // beside the agent
 	}
@@ -166,31 +174,31 @@
 			a.log.Warn().Str("worker", info.ID).Int64("born", info.Born).Msg("agent: announcement of an incarnation that is over")
 		}
 	})
-	a.remember(info)
+	a.saveWorker(info)
 }
 
-// remember keeps the worker's word in the registry, so that the next process of
-// this agent need not wait for an announcement.
-func (a *Agent) remember(info runs.Worker) {
-	if info.Life() == a.remembered.Life() && info.Draining == a.remembered.Draining && info.Capacity == a.remembered.Capacity {
+// saveWorker stores a changed announcement in the registry, so that the next process of this agent
+// need not wait for an announcement.
+func (a *Agent) saveWorker(info runs.Worker) {
+	if info.Life() == a.savedWorker.Life() && info.Draining == a.savedWorker.Draining && info.Capacity == a.savedWorker.Capacity {
 		return
 	}
-	a.remembered = info
+	a.savedWorker = info
 	go func() {
-		ctx, cancel := context.WithTimeout(a.work, registryTimeout)
+		ctx, cancel := context.WithTimeout(a.workCtx, registryTimeout)
 		defer cancel()
-		if err := a.deps.Registry.Remember(ctx, info); err != nil {
+		if err := a.deps.Registry.SaveWorker(ctx, info); err != nil {
 			a.log.Warn().Err(err).Str("worker", info.ID).Msg("agent: worker not remembered")
 		}
 	}()
 }
 
-// recall takes the worker's word from the registry. The worker itself tells at
-// the first look whether that incarnation is still there.
-func (a *Agent) recall(ctx context.Context) error {
-	asking, cancel := context.WithTimeout(ctx, registryTimeout)
+// loadWorker passes the announcement that is stored in the registry to the core. The first poll
+// shows whether that incarnation of the worker still exists.
+func (a *Agent) loadWorker(ctx context.Context) error {
+	loadCtx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	info, err := a.deps.Registry.Recall(asking, a.settings.Name)
+	info, err := a.deps.Registry.LoadWorker(loadCtx, a.settings.Name)
 	if err != nil {
 		a.log.Warn().Err(err).Msg("agent: the registry does not tell the worker")
 		return nil
@@ -203,18 +211,20 @@
 	return nil
 }
 
-// Left takes the worker's word that an incarnation ends.
-func (a *Agent) Left(id string) {
+// WorkerLeft handles the worker's notice that its incarnation with the given ID is ending.
+func (a *Agent) WorkerLeft(id string) {
 	a.log.Info().Str("worker", id).Msg("agent: worker left")
 	a.post(func(c *core.Core, now time.Time) { c.Left(now, id) })
 }
 
-// post hands an event to the loop, unless the agent has stopped.
+// post queues an event for the event loop. It waits while the queue is full and does nothing once
+// the agent has stopped.
 func (a *Agent) post(e eventloop.Event[*core.Core]) { a.events.Post(e) }
 
-// loop owns the core.
-func (a *Agent) loop(ctx context.Context) error {
-	timer := time.NewTimer(tickIdle)
+// runEventLoop handles events and ticks and executes the output of the core, which no other
+// goroutine may use.
+func (a *Agent) runEventLoop(ctx context.Context) error {
+	timer := time.NewTimer(idleTickInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -222,52 +232,53 @@
 			return nil
 		case e := <-a.events.Next():
 			now := boottime.Now()
-			a.core.Tick(now) // leases are judged before anything else, also after a suspension
+			a.core.Tick(now) // leases expire before the event is handled, even after a suspension of the process
 			a.events.Take(e, a.core, now)
 		case <-timer.C:
 			a.core.Tick(boottime.Now())
-			a.publish()
-			a.dir.settle(!a.core.Unsettled())
+			a.publishMetrics()
+			a.directory.setEndsDelivered(!a.core.Unsettled())
 		}
-		a.perform(a.core.Flush(boottime.Now()))
-		a.watchDrains(boottime.Now())
-		a.markBusy()
-		a.wakeLooker()
-		timer.Reset(a.tick())
+		a.execute(a.core.Flush(boottime.Now()))
+		a.publishDrains(boottime.Now())
+		a.updateBusyLinks()
+		a.requestPoll()
+		timer.Reset(a.tickInterval())
 	}
 }
 
-func (a *Agent) tick() time.Duration {
+// tickInterval returns the time until the next tick.
+func (a *Agent) tickInterval() time.Duration {
 	if a.core.Idle() && !a.core.HasNews() {
-		return tickIdle
+		return idleTickInterval
 	}
-	return tickBusy
+	return busyTickInterval
 }
 
-// markBusy tells the links' watchers whether a silent entry is a fault.
-func (a *Agent) markBusy() {
+// updateBusyLinks sets which links have runs, and are closed after the shorter silence.
+func (a *Agent) updateBusyLinks() {
 	for id, l := range a.links {
 		busy := a.core.Owes(id)
 		if busy && !l.busy.Load() {
-			l.heard.Store(time.Now().UnixNano()) // it had no reason to speak often until now
+			l.lastReceived.Store(time.Now().UnixNano()) // the entry sent only rare messages while the link was idle
 		}
 		l.busy.Store(busy)
 	}
 }
 
-// perform carries out what the core asks for.
-func (a *Agent) perform(out core.Output) {
+// execute executes the output of the core without blocking.
+func (a *Agent) execute(out core.Output) {
 	for _, o := range out.Orders {
-		ring := a.starts
+		queue := a.startOrders
 		if o.Kind == core.OrderStop {
-			ring = a.stops
+			queue = a.stopOrders
 		}
 		select {
-		case ring <- o:
+		case queue <- o:
 		default:
-			// Never sent: the worker certainly does nothing of it.
+			// The order is never sent, so the worker certainly does not execute it.
 			a.log.Warn().Str("task", o.Key.Task).Msg("agent: too many orders wait, one dropped")
-			a.answered(o, core.Answer{Verdict: core.RefusedOther})
+			a.reportAnswer(o, core.Answer{Verdict: core.RefusedOther})
 		}
 	}
 	for _, s := range out.Sends {
@@ -281,17 +292,18 @@
 		}
 	}
 	for i := range out.Notes {
-		a.logNote(&out.Notes[i])
+		a.logDecision(&out.Notes[i])
 	}
 }
 
-// linesPerSecond bounds the lines of one event: about four times what an agent
-// writes at the highest load of today's deployments.
-const linesPerSecond = 200
+// logLinesPerSecond bounds the log lines of each event. It is about four times what an agent
+// writes at the highest load of the known deployments.
+const logLinesPerSecond = 200
 
-func (a *Agent) logNote(n *core.Note) {
+// logDecision counts a decision of the core and logs it within the budget.
+func (a *Agent) logDecision(n *core.Note) {
 	telemetry.Count("decisions."+strings.ReplaceAll(n.Event, " ", "_"), a.deps.Metrics)
-	ok, leftOut := a.budget.Allow(n.Event, boottime.Now())
+	ok, leftOut := a.logBudget.Allow(n.Event, boottime.Now())
 	if !ok {
 		return
 	}
@@ -317,24 +329,25 @@
 	line.Msg("agent: " + n.Event)
 }
 
-// publish keeps the metrics of the present state.
-func (a *Agent) publish() {
+// publishMetrics updates the gauges and logs the traffic.
+func (a *Agent) publishMetrics() {
 	telemetry.Gauge("links", a.deps.Metrics, int64(len(a.links)))
 	telemetry.Gauge("runs", a.deps.Metrics, int64(a.core.Runs()))
 	telemetry.Gauge("logs.dropped", a.deps.Metrics, a.deps.Logs.Dropped())
 	a.traffic.Log(boottime.Now(), a.log, "agent: traffic", len(a.links))
 }
 
-// answered reports the outcome of an order without waiting for the loop.
-func (a *Agent) answered(o core.Order, answer core.Answer) {
+// reportAnswer posts the outcome of an order. The event loop itself calls it, so it must not wait
+// for space in the event queue.
+func (a *Agent) reportAnswer(o core.Order, answer core.Answer) {
 	report := func(c *core.Core, now time.Time) { c.Ordered(now, o, answer) }
 	if !a.events.TryPost(report) {
 		go a.post(report)
 	}
 }
 
-// carry returns the duty that takes orders to the worker, one after the other.
-func (a *Agent) carry(orders <-chan core.Order) lifecycle.Duty {
+// orderSender returns a routine that sends queued orders to the worker, one at a time.
+func (a *Agent) orderSender(orders <-chan core.Order) lifecycle.Duty {
 	return func(ctx context.Context) error {
 		for {
 			select {
--- a/service/runner/directory.go
+++ b/service/runner/directory.go
@@ -13,76 +13,82 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Times of finding entries.
+// Timing of the choice of entries.
 const (
-	// chooseEvery is how often the choice of entries is looked at anew without a reason.
-	chooseEvery = 250 * time.Millisecond
-	// substituteAfter is how long a chosen entry may be out of reach before another one
-	// is worked with too: longer than a process takes to start again, so that a rolling
-	// restart does not have all agents open links twice.
-	substituteAfter = 1500 * time.Millisecond
+	// chooseInterval is the interval at which the choice is checked if nothing triggers it.
+	chooseInterval = 250 * time.Millisecond
+	// substituteDelay is how long a chosen entry may be unreachable before the agent links to a
+	// substitute as well. It is longer than a restart of the entry's process takes, so that a
+	// rolling restart does not make all agents open links twice.
+	substituteDelay = 1500 * time.Millisecond
 )
 
-// directory knows the entries, and keeps links to those that this agent works with.
+// directory holds the known entries, chooses those that this agent works with (package subset), and
+// maintains a link to each of them.
 //
-// A chosen entry that is out of reach is tried further, and the next one by rank takes
-// its place meanwhile. A link that is not wanted any more is released, and closed once
-// nothing of its entry runs here.
+// While a chosen entry is unreachable, the agent goes on trying to connect and links to the
+// entry with the next rank as a substitute. A link to an entry that is no longer wanted is
+// released: the entry sends no new work, and the core closes the link once no run of the entry is
+// left.
 type directory struct {
 	agent *Agent
 	mu    sync.Mutex
 	// contacts are the known entries by their address.
 	contacts map[string]*contact
-	// unsettled is true while ends are kept whose entry is not linked. The loop sets it; it
-	// must not wait for mu, which is held while events are handed to the loop.
-	unsettled atomic.Bool
-	// chosen is set while the choice holds: nothing has changed since, and all that are
-	// worked with are linked. chosenFor are the drained data centres for which it was made.
-	chosen    bool
-	chosenFor []string
-	// choices counts the times that entries were chosen.
-	choices int
-	wake    chan struct{}
+	// undeliveredEnds is true while the agent keeps ends of runs that no linked entry has
+	// acknowledged. The event loop sets it. It is atomic because the event loop must not wait
+	// for mu, which is held while events are posted to the event loop.
+	undeliveredEnds atomic.Bool
+	// choiceValid is true while the choice need not be repeated: nothing has changed since, and
+	// exactly the wanted entries are linked. choiceDrained are the drained data centres at the
+	// time of the choice.
+	choiceValid   bool
+	choiceDrained []string
+	// choiceCount is the number of choices made.
+	choiceCount int
+	wakeUp      chan struct{}
 }
 
 // contact is a known entry.
 type contact struct {
-	// entry has no incarnation while only its address is known.
+	// entry has an incarnation of 0 while only its address is known.
 	entry runs.Entry
-	// kept is true while a goroutine keeps a link to it, wanted while it shall do so,
-	// onDemand if only since the entry is short of agents.
-	kept, wanted, onDemand bool
+	// maintained is true while a goroutine maintains a link to the entry, wanted while the agent
+	// works with the entry, onDemand if it does so only because the entry is short of agents.
+	maintained, wanted, onDemand bool
 	// link is the open link; nil if there is none.
 	link *link
-	// lostAt is when the last link was lost, or when the first one was attempted.
+	// lostAt is the time when the last link was closed, or when the first connection attempt
+	// began.
 	lostAt time.Time
 }
 
 func newDirectory(a *Agent) *directory {
-	return &directory{agent: a, contacts: make(map[string]*contact), wake: make(chan struct{}, 1)}
+	return &directory{agent: a, contacts: make(map[string]*contact), wakeUp: make(chan struct{}, 1)}
 }
 
+// run chooses entries until ctx ends. While no link is open it also searches for entries.
 func (d *directory) run(ctx context.Context) error {
-	ticker := time.NewTicker(chooseEvery)
+	ticker := time.NewTicker(chooseInterval)
 	defer ticker.Stop()
 	s := search{directory: d}
 	for {
-		if d.linked() == 0 {
-			s.next(ctx)
+		if d.openLinks() == 0 {
+			s.tryNext(ctx)
 		} else {
 			s.attempt = 0
 		}
-		d.chooseAnew(ctx)
+		d.chooseIfNeeded(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-d.wake:
+		case <-d.wakeUp:
 		case <-ticker.C:
 		}
 	}
 }
 
-// learn adds entries.
+// learn adds entries, and updates known ones that have a new incarnation or state.
 func (d *directory) learn(entries []runs.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -96,54 +102,54 @@
 		default:
 			continue
 		}
-		d.signal()
+		d.invalidateChoice()
 	}
 }
 
-// signal has the entries chosen anew. Its caller holds mu.
-func (d *directory) signal() {
-	d.chosen = false
-	d.notify()
+// invalidateChoice triggers a new choice. The caller holds mu.
+func (d *directory) invalidateChoice() {
+	d.choiceValid = false
+	d.wakeChooser()
 }
 
-// notify wakes the goroutine that chooses.
-func (d *directory) notify() {
+// wakeChooser wakes the goroutine that chooses entries.
+func (d *directory) wakeChooser() {
 	select {
-	case d.wake <- struct{}{}:
+	case d.wakeUp <- struct{}{}:
 	default:
 	}
 }
 
-// settle tells whether all ends that are kept have found their entry. While they have
-// not, the agent works with all entries.
-func (d *directory) settle(settled bool) {
-	if d.unsettled.Swap(!settled) == settled {
-		d.notify()
+// setEndsDelivered sets whether the agent keeps no undelivered ends. While there are some, the agent
+// links to all entries, since any of them may have taken over the jobs of these ends.
+func (d *directory) setEndsDelivered(delivered bool) {
+	if d.undeliveredEnds.Swap(!delivered) == delivered {
+		d.wakeChooser()
 	}
 }
 
-// chooseAnew chooses entries unless the present choice holds. With hundreds of entries a
-// choice at each tick, in which nothing has changed, is most of what an agent without work
-// does.
-func (d *directory) chooseAnew(ctx context.Context) {
-	drained, unsettled := d.agent.drains.dataCentres(), d.unsettled.Load()
+// chooseIfNeeded chooses entries unless the last choice is still valid. With hundreds of entries, a
+// choice on every tick would be most of the CPU use of an idle agent.
+func (d *directory) chooseIfNeeded(ctx context.Context) {
+	drained, undelivered := d.agent.sharedDrains.dataCentres(), d.undeliveredEnds.Load()
 	d.mu.Lock()
-	holds := d.chosen && !unsettled && slices.Equal(drained, d.chosenFor)
-	d.chosen = true // until something changes meanwhile
+	valid := d.choiceValid && !undelivered && slices.Equal(drained, d.choiceDrained)
+	d.choiceValid = true // a change during the choice resets it
 	d.mu.Unlock()
-	if holds {
+	if valid {
 		return
 	}
 	d.choose(ctx)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.choices++
-	d.chosenFor = drained
-	d.chosen = d.chosen && !unsettled && d.allLinked()
+	d.choiceCount++
+	d.choiceDrained = drained
+	d.choiceValid = d.choiceValid && !undelivered && d.linksMatchChoice()
 }
 
-// allLinked reports whether all entries that are worked with are linked, and no others.
-func (d *directory) allLinked() bool {
+// linksMatchChoice reports whether exactly the wanted entries are linked. It is false if no entry is
+// known. The caller holds mu.
+func (d *directory) linksMatchChoice() bool {
 	for _, c := range d.contacts {
 		if c.wanted != (c.link != nil) {
 			return false
@@ -152,47 +158,49 @@
 	return len(d.contacts) > 0
 }
 
-// choose opens links to the entries that this agent should work with, and releases others.
+// choose opens or retains links to the entries that this agent should work with, and releases all
+// other links.
 func (d *directory) choose(ctx context.Context) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	wanted := d.wanted()
-	onDemand := d.onDemand(wanted)
+	wanted := d.wantedAddresses()
+	onDemand := d.onDemandAddresses(wanted)
 	for address, c := range d.contacts {
-		d.want(c, wanted[address] || onDemand[address], onDemand[address])
-		if c.wanted && !c.kept && ctx.Err() == nil {
-			c.kept = true
+		d.setWanted(c, wanted[address] || onDemand[address], onDemand[address])
+		if c.wanted && !c.maintained && ctx.Err() == nil {
+			c.maintained = true
 			c.lostAt = time.Now()
-			go d.keep(ctx, address, c)
+			go d.maintainLink(ctx, address, c)
 		}
 	}
 }
 
-// wanted returns the addresses to work with: the choice among all that are known, that
-// among those in reach, and those of which only the address is known.
-func (d *directory) wanted() map[string]bool {
+// wantedAddresses returns the addresses of the chosen entries: the choice among all known entries,
+// the choice among the reachable ones, which adds substitutes, and all entries of which only the
+// address is known. The caller holds mu.
+func (d *directory) wantedAddresses() map[string]bool {
 	wanted := make(map[string]bool)
-	var known, inReach []runs.Entry
+	var known, reachable []runs.Entry
 	for address, c := range d.contacts {
 		if c.entry.Incarnation == 0 {
 			wanted[address] = true
 			continue
 		}
 		known = append(known, c.entry)
-		if c.link != nil || !c.kept || time.Since(c.lostAt) < substituteAfter {
-			inReach = append(inReach, c.entry)
+		if c.link != nil || !c.maintained || time.Since(c.lostAt) < substituteDelay {
+			reachable = append(reachable, c.entry)
 		}
 	}
-	chosen := slices.Concat(d.choice(known), d.choice(inReach))
+	chosen := slices.Concat(d.chooseFrom(known), d.chooseFrom(reachable))
 	for _, e := range chosen {
 		wanted[e.Address] = true
 	}
 	return wanted
 }
 
-// onDemand returns the addresses of entries that are worked with besides the wanted ones,
-// since they are short of agents.
-func (d *directory) onDemand(wanted map[string]bool) map[string]bool {
+// onDemandAddresses returns the addresses of entries to link to in addition to the wanted ones,
+// because they are short of agents. The caller holds mu.
+func (d *directory) onDemandAddresses(wanted map[string]bool) map[string]bool {
 	var short []runs.Entry
 	for address, c := range d.contacts {
 		if c.entry.Short && !wanted[address] {
@@ -206,25 +214,27 @@
 	return chosen
 }
 
-func (d *directory) choice(entries []runs.Entry) []runs.Entry {
-	if d.unsettled.Load() {
+// chooseFrom returns this agent's subset of the given entries, or all of them while there are
+// undelivered ends.
+func (d *directory) chooseFrom(entries []runs.Entry) []runs.Entry {
+	if d.undeliveredEnds.Load() {
 		return entries
 	}
-	return subset.Choose(d.agent.settings.Name, d.agent.settings.DataCentre, entries, d.agent.drains.dataCentres())
+	return subset.Choose(d.agent.settings.Name, d.agent.settings.DataCentre, entries, d.agent.sharedDrains.dataCentres())
 }
 
-// want notes whether an entry is worked with, and why, and has an open link released or
-// retained.
-func (d *directory) want(c *contact, wanted, onDemand bool) {
+// setWanted sets whether the agent works with an entry, and whether only on demand. It retains or
+// releases an open link accordingly.
+func (d *directory) setWanted(c *contact, wanted, onDemand bool) {
 	if c.wanted == wanted && c.onDemand == onDemand {
 		return
 	}
 	c.wanted, c.onDemand = wanted, onDemand
-	d.tell(c)
+	d.reportLinkUse(c)
 }
 
-// tell has the core know how an open link is used.
-func (d *directory) tell(c *contact) {
+// reportLinkUse tells the core whether an open link is in use, and whether only on demand.
+func (d *directory) reportLinkUse(c *contact) {
 	l, wanted, onDemand := c.link, c.wanted, c.onDemand
 	if l == nil {
 		return
@@ -239,8 +249,8 @@
 	})
 }
 
-// linked returns the number of open links.
-func (d *directory) linked() int {
+// openLinks counts the open links.
+func (d *directory) openLinks() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := 0
@@ -252,46 +262,47 @@
 	return n
 }
 
-// opened notes an open link.
-func (d *directory) opened(address string, l *link) {
+// linkOpened records the open link to an entry.
+func (d *directory) linkOpened(address string, l *link) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c := d.contacts[address]; c != nil {
 		c.link = l
-		d.tell(c)
-		d.signal()
+		d.reportLinkUse(c)
+		d.invalidateChoice()
 	}
 }
 
-// closed notes that a link is no more.
-func (d *directory) closed(address string) {
+// linkClosed records that the link to an entry has been closed.
+func (d *directory) linkClosed(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c := d.contacts[address]; c != nil {
 		c.link = nil
 		c.lostAt = time.Now()
-		d.chosen = false
+		d.choiceValid = false
 	}
 }
 
-// keep links the agent to one entry until that is out of reach for long, when it is
-// forgotten, or not worked with any more.
-func (d *directory) keep(ctx context.Context, address string, c *contact) {
+// maintainLink keeps a link to one entry open and reconnects it. It returns when the entry is no
+// longer wanted. It also returns when the entry has been unreachable for transport.ForgetAfter, and
+// then removes the entry from the directory.
+func (d *directory) maintainLink(ctx context.Context, address string, c *contact) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	left := false
+	unwanted := false
 	transport.Keep(ctx, func(ctx context.Context) bool {
-		if left = !d.isWanted(c); left {
+		if unwanted = !d.isWanted(c); unwanted {
 			stop()
 			return false
 		}
-		return d.agent.serve(ctx, address)
+		return d.agent.serveLink(ctx, address)
 	})
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c.kept = false
-	d.chosen = false
-	if !left {
+	c.maintained = false
+	d.choiceValid = false
+	if !unwanted {
 		delete(d.contacts, address)
 	}
 }
--- a/service/runner/directory_test.go
+++ b/service/runner/directory_test.go
@@ -20,63 +20,63 @@
 	"peridotpick.example/wire/runs"
 )
 
-// standInEntry accepts links and speaks on them now and then.
-type standInEntry struct {
+// fakeEntry is an entry that accepts links and sends a message on each at short intervals.
+type fakeEntry struct {
 	t       *testing.T
 	self    runs.Entry
 	links   atomic.Int64
-	stopNow context.CancelFunc
-	ended   chan struct{}
-	// releases counts the times that an agent released a link.
+	cancel  context.CancelFunc
+	stopped chan struct{}
+	// releases counts the messages in which an agent reported the link as released.
 	releases atomic.Int64
-	// onDemand is what the agent said last of why it works with this entry.
+	// onDemand is the newest value of Worker.OnDemand that the agent has sent.
 	onDemand atomic.Bool
-	// short is what it says of itself.
+	// short is the value of Entry.Short in the hello.
 	short atomic.Bool
-	// others are the entries that it tells an agent of.
-	others []runs.Entry
+	// knownEntries are the entries that it lists in the hello.
+	knownEntries []runs.Entry
 }
 
-func newStandInEntry(t *testing.T, n int) *standInEntry {
+func newFakeEntry(t *testing.T, n int) *fakeEntry {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = l.Close() }()
-	return &standInEntry{t: t, self: runs.Entry{Address: l.Addr().String(), Incarnation: uint64(n + 1), DataCentre: "d"}}
+	return &fakeEntry{t: t, self: runs.Entry{Address: l.Addr().String(), Incarnation: uint64(n + 1), DataCentre: "d"}}
 }
 
-// start has it accept links until stop.
-func (e *standInEntry) start() {
+// start accepts links until stop is called.
+func (e *fakeEntry) start() {
 	l, err := net.Listen("tcp", e.self.Address)
 	if err != nil {
 		e.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	e.stopNow, e.ended = cancel, make(chan struct{})
+	e.cancel, e.stopped = cancel, make(chan struct{})
 	go func() {
-		defer close(e.ended)
+		defer close(e.stopped)
 		_ = transport.Serve(ctx, l, runs.Handler{Server: e}) // ends with its context
 	}()
 }
 
-func (e *standInEntry) stop() {
-	e.stopNow()
-	<-e.ended
+func (e *fakeEntry) stop() {
+	e.cancel()
+	<-e.stopped
 }
 
 // Gossip implements runs.Server.
-func (e *standInEntry) Gossip(runs.GossipEnd) error { return nil }
+func (e *fakeEntry) Gossip(runs.GossipEnd) error { return nil }
 
 // Link implements runs.Server.
-func (e *standInEntry) Link(stream runs.EntryEnd) error {
+func (e *fakeEntry) Link(stream runs.EntryEnd) error {
 	if _, err := stream.Recv(); err != nil {
 		return err
 	}
 	hello := e.self
 	hello.Short = e.short.Load()
-	if err := stream.Send(&runs.ToAgent{Hello: &hello, Entries: e.others}); err != nil {
+	if err := stream.Send(&runs.ToAgent{Hello: &hello, Entries: e.knownEntries}); err != nil {
 		return err
 	}
 	e.links.Add(1)
@@ -104,16 +104,16 @@
 	return nil
 }
 
-// standInRegistry lists entries.
-type standInRegistry struct {
+// fakeRegistry is a Registry with a fixed list of entries.
+type fakeRegistry struct {
 	mu      sync.Mutex
 	entries []runs.Entry
 	drains  runs.Drains
-	// drainsAsked counts the questions for drained data centres.
-	drainsAsked int
+	// drainsCalls counts the calls of Drains.
+	drainsCalls int
 }
 
-func (r *standInRegistry) Entries(_ context.Context, _ uint64, limit int) ([]registry.Row, error) {
+func (r *fakeRegistry) Entries(_ context.Context, _ uint64, limit int) ([]registry.Row, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var rows []registry.Row
@@ -123,43 +123,43 @@
 	return rows, nil
 }
 
-func (r *standInRegistry) Remember(context.Context, runs.Worker) error { return nil }
-func (r *standInRegistry) Recall(context.Context, string) (runs.Worker, error) {
+func (r *fakeRegistry) SaveWorker(context.Context, runs.Worker) error { return nil }
+func (r *fakeRegistry) LoadWorker(context.Context, string) (runs.Worker, error) {
 	return runs.Worker{}, nil
 }
 
-func (r *standInRegistry) Drains(context.Context) (runs.Drains, error) {
+func (r *fakeRegistry) Drains(context.Context) (runs.Drains, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.drainsAsked++
+	r.drainsCalls++
 	return r.drains, nil
 }
 
-// idleWorker is never called: it has not announced itself.
+// idleWorker is a worker that has not announced itself, so its methods are never called.
 type idleWorker struct{}
 
 func (idleWorker) Order(core.Order) core.Answer               { return core.Answer{} }
-func (idleWorker) Look(core.Look) (core.Answer, core.Listing) { return core.Answer{}, core.Listing{} }
+func (idleWorker) Poll(core.Look) (core.Answer, core.Listing) { return core.Answer{}, core.Listing{} }
 
-// fleetOf starts entries and an agent that finds them in the registry.
-func fleetOf(t *testing.T, n int) (*Agent, []*standInEntry) {
+// startFleet starts n entries and an agent that finds them in the registry.
+func startFleet(t *testing.T, n int) (*Agent, []*fakeEntry) {
 	t.Helper()
-	registry := &standInRegistry{}
-	fleet := make([]*standInEntry, 0, n)
+	registry := &fakeRegistry{}
+	fleet := make([]*fakeEntry, 0, n)
 	for i := range n {
-		e := newStandInEntry(t, i)
+		e := newFakeEntry(t, i)
 		fleet = append(fleet, e)
 		registry.entries = append(registry.entries, e.self)
 	}
 	for _, e := range fleet {
-		e.others = registry.entries
+		e.knownEntries = registry.entries
 		e.start()
 		t.Cleanup(e.stop)
 	}
 	return startAgent(t, registry, nil), fleet
 }
 
-// startAgent runs an agent until the test ends.
+// startAgent runs an agent until the end of the test.
 func startAgent(t *testing.T, registry Registry, seeds []string) *Agent {
 	t.Helper()
 	settings := core.Standard()
@@ -174,17 +174,18 @@
 	return a
 }
 
-func await(t *testing.T, what string, ok func() bool) {
+// waitFor waits until ok returns true. After 30 s it fails the test with a message.
+func waitFor(t *testing.T, message string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(message)
 		}
 	}
 }
 
-// linked returns the entries with a link.
-func linked(fleet []*standInEntry) map[string]bool {
+// linked returns the addresses of the entries that have a link.
+func linked(fleet []*fakeEntry) map[string]bool {
 	list := make(map[string]bool)
 	for _, e := range fleet {
 		if e.links.Load() > 0 {
@@ -194,7 +195,8 @@
 	return list
 }
 
-func chosenOf(fleet []*standInEntry) map[string]bool {
+// chosenEntries returns the addresses of the entries that the agent should choose.
+func chosenEntries(fleet []*fakeEntry) map[string]bool {
 	var known []runs.Entry
 	for _, e := range fleet {
 		known = append(known, e.self)
@@ -206,32 +208,32 @@
 	return chosen
 }
 
-func same(a, b map[string]bool) bool { return fmt.Sprint(a) == fmt.Sprint(b) }
+func equalSets(a, b map[string]bool) bool { return fmt.Sprint(a) == fmt.Sprint(b) }
 
-// TestAgentWorksWithItsSubset: the links of an agent do not grow with the fleet. One
-// that is out of reach is stood in for, and taken back when it returns; the substitute
-// is released then.
-func TestAgentWorksWithItsSubset(t *testing.T) {
+// TestAgentLinksToItsSubset checks that the number of an agent's links does not grow with the
+// number of entries, that an unreachable entry is replaced by a substitute, and that the substitute
+// is released once the entry is back.
+func TestAgentLinksToItsSubset(t *testing.T) {
 	is := is.New(t)
-	_, fleet := fleetOf(t, subset.Total+6)
-	chosen := chosenOf(fleet)
+	_, fleet := startFleet(t, subset.Total+6)
+	chosen := chosenEntries(fleet)
 	is.Equal(len(chosen), subset.Total)
-	await(t, "the chosen entries are not linked", func() bool { return same(linked(fleet), chosen) })
-	before := releases(fleet) // of the first entries that it found
-	var away *standInEntry
+	waitFor(t, "the chosen entries are not linked", func() bool { return equalSets(linked(fleet), chosen) })
+	before := countReleases(fleet) // includes those of the entries that the agent found first
+	var unreachable *fakeEntry
 	for _, e := range fleet {
 		if chosen[e.self.Address] {
-			away = e
+			unreachable = e
 		}
 	}
-	away.stop()
-	await(t, "nobody stands in", func() bool { return len(linked(fleet)) == subset.Total && !same(linked(fleet), chosen) })
-	away.start()
-	await(t, "the choice is not restored", func() bool { return same(linked(fleet), chosen) })
-	is.Equal(releases(fleet)-before, int64(1))
+	unreachable.stop()
+	waitFor(t, "no substitute is linked", func() bool { return len(linked(fleet)) == subset.Total && !equalSets(linked(fleet), chosen) })
+	unreachable.start()
+	waitFor(t, "the chosen entries are not linked again", func() bool { return equalSets(linked(fleet), chosen) })
+	is.Equal(countReleases(fleet)-before, int64(1))
 }
 
-func releases(fleet []*standInEntry) int64 {
+func countReleases(fleet []*fakeEntry) int64 {
 	n := int64(0)
 	for _, e := range fleet {
 		n += e.releases.Load()
@@ -239,20 +241,20 @@
 	return n
 }
 
-// TestAgentTriesSeedsOneAtATimeWhenTheRegistryListsNobody: seeds are the same for many
-// agents, each of which would link to all of them.
-func TestAgentTriesSeedsOneAtATimeWhenTheRegistryListsNobody(t *testing.T) {
+// TestSeedsAreTriedOneAtATimeIfRegistryIsEmpty checks that an agent links to one seed only. Many agents
+// have the same seeds, which would otherwise get a link from each of them.
+func TestSeedsAreTriedOneAtATimeIfRegistryIsEmpty(t *testing.T) {
 	is := is.New(t)
-	var fleet []*standInEntry
+	var fleet []*fakeEntry
 	var seeds []string
 	for i := range 3 {
-		e := newStandInEntry(t, i)
+		e := newFakeEntry(t, i)
 		e.start()
 		t.Cleanup(e.stop)
 		fleet, seeds = append(fleet, e), append(seeds, e.self.Address)
 	}
-	startAgent(t, &standInRegistry{}, seeds)
-	await(t, "no seed is linked", func() bool { return len(linked(fleet)) > 0 })
+	startAgent(t, &fakeRegistry{}, seeds)
+	waitFor(t, "no seed is linked", func() bool { return len(linked(fleet)) > 0 })
 	time.Sleep(time.Second)
 	is.Equal(len(linked(fleet)), 1)
 	for _, e := range fleet {
@@ -260,31 +262,33 @@
 			e.stop()
 		}
 	}
-	await(t, "the next seed is not linked", func() bool { return len(linked(fleet)) > 0 })
+	waitFor(t, "the next seed is not linked", func() bool { return len(linked(fleet)) > 0 })
 }
 
-// TestAgentAtRestDoesNotChooseAgain: nothing has changed.
-func TestAgentAtRestDoesNotChooseAgain(t *testing.T) {
+// TestChoiceIsNotRepeatedWithoutChanges checks that an agent whose chosen entries are linked does not
+// choose again, which costs CPU with hundreds of entries.
+func TestChoiceIsNotRepeatedWithoutChanges(t *testing.T) {
 	is := is.New(t)
-	a, fleet := fleetOf(t, subset.Total+6)
-	await(t, "the chosen entries are not linked", func() bool { return same(linked(fleet), chosenOf(fleet)) })
+	a, fleet := startFleet(t, subset.Total+6)
+	waitFor(t, "the chosen entries are not linked", func() bool { return equalSets(linked(fleet), chosenEntries(fleet)) })
 	choices := func() int {
-		a.dir.mu.Lock()
-		defer a.dir.mu.Unlock()
-		return a.dir.choices
+		a.directory.mu.Lock()
+		defer a.directory.mu.Unlock()
+		return a.directory.choiceCount
 	}
-	time.Sleep(2 * chooseEvery)
+	time.Sleep(2 * chooseInterval)
 	before := choices()
-	time.Sleep(4 * chooseEvery)
+	time.Sleep(4 * chooseInterval)
 	is.Equal(choices(), before)
 }
 
-// TestLastEntryReachesTheAgent: whoever is left of a fleet gets the link.
-func TestLastEntryReachesTheAgent(t *testing.T) {
-	_, fleet := fleetOf(t, subset.Total+6)
-	chosen := chosenOf(fleet)
-	await(t, "the chosen entries are not linked", func() bool { return same(linked(fleet), chosen) })
-	var last *standInEntry
+// TestAgentLinksToTheOnlyReachableEntry checks that an entry that was not chosen gets a link once all
+// other entries are unreachable.
+func TestAgentLinksToTheOnlyReachableEntry(t *testing.T) {
+	_, fleet := startFleet(t, subset.Total+6)
+	chosen := chosenEntries(fleet)
+	waitFor(t, "the chosen entries are not linked", func() bool { return equalSets(linked(fleet), chosen) })
+	var last *fakeEntry
 	for _, e := range fleet {
 		if last == nil && !chosen[e.self.Address] {
 			last = e
@@ -292,43 +296,44 @@
 		}
 		e.stop()
 	}
-	await(t, "the last entry has no link", func() bool { return last.links.Load() > 0 })
+	waitFor(t, "the last entry has no link", func() bool { return last.links.Load() > 0 })
 }
 
-// TestShortEntryIsLinkedOnDemand: an entry that few agents chose gets them all, for as
-// long as it is short.
+// TestShortEntryIsLinkedOnDemand checks that agents link to an entry that is short of agents even
+// if they have not chosen it, and only as long as it is short.
 func TestShortEntryIsLinkedOnDemand(t *testing.T) {
 	is := is.New(t)
-	a, fleet := fleetOf(t, subset.Total+6)
-	await(t, "the chosen entries are not linked", func() bool { return same(linked(fleet), chosenOf(fleet)) })
-	var other *standInEntry
+	a, fleet := startFleet(t, subset.Total+6)
+	waitFor(t, "the chosen entries are not linked", func() bool { return equalSets(linked(fleet), chosenEntries(fleet)) })
+	var other *fakeEntry
 	for _, e := range fleet {
-		if !chosenOf(fleet)[e.self.Address] {
+		if !chosenEntries(fleet)[e.self.Address] {
 			other = e
 		}
 	}
 	other.short.Store(true)
 	short := other.self
 	short.Short = true
-	a.dir.learn([]runs.Entry{short})
-	await(t, "the short entry is not linked", func() bool { return other.links.Load() == 1 && other.onDemand.Load() })
+	a.directory.learn([]runs.Entry{short})
+	waitFor(t, "the short entry is not linked", func() bool { return other.links.Load() == 1 && other.onDemand.Load() })
 	is.Equal(len(linked(fleet)), subset.Total+1)
 	other.short.Store(false)
-	a.dir.learn([]runs.Entry{other.self})
-	await(t, "the link on demand stays", func() bool { return same(linked(fleet), chosenOf(fleet)) })
+	a.directory.learn([]runs.Entry{other.self})
+	waitFor(t, "the link on demand is not closed", func() bool { return equalSets(linked(fleet), chosenEntries(fleet)) })
 }
 
-// TestKeptEndsFindTheirEntry: while an end waits for the entry that has taken its job
-// over, the agent works with all of them.
-func TestKeptEndsFindTheirEntry(t *testing.T) {
+// TestAgentLinksToAllEntriesWhileEndsAreUndelivered checks that the agent works with all entries
+// while it keeps ends that no entry has acknowledged. Any entry may have taken over the job of such
+// an end, and only that one acknowledges it.
+func TestAgentLinksToAllEntriesWhileEndsAreUndelivered(t *testing.T) {
 	is := is.New(t)
 	a := New(Settings{Name: "a", DataCentre: "d"}, Deps{Logs: logs.Discard(), Metrics: metrics.NewRegistry()})
 	for i := range subset.Total + 6 {
-		a.dir.learn([]runs.Entry{{Address: fmt.Sprint("e", i), Incarnation: uint64(i + 1), DataCentre: "d"}})
+		a.directory.learn([]runs.Entry{{Address: fmt.Sprint("e", i), Incarnation: uint64(i + 1), DataCentre: "d"}})
 	}
-	is.Equal(len(a.dir.wanted()), subset.Total)
-	a.dir.settle(false)
-	is.Equal(len(a.dir.wanted()), subset.Total+6)
-	a.dir.settle(true)
-	is.Equal(len(a.dir.wanted()), subset.Total)
+	is.Equal(len(a.directory.wantedAddresses()), subset.Total)
+	a.directory.setEndsDelivered(false)
+	is.Equal(len(a.directory.wantedAddresses()), subset.Total+6)
+	a.directory.setEndsDelivered(true)
+	is.Equal(len(a.directory.wantedAddresses()), subset.Total)
 }
--- a/service/runner/drains.go
+++ b/service/runner/drains.go
@@ -10,46 +10,47 @@
 	"peridotpick.example/service/telemetry"
 )
 
-// Times of asking the store for the drained data centres.
+// Intervals at which the agent reads the drained data centres from the store while no entry
+// confirms its view of them.
 const (
-	// confirmPoll is how often it is looked at whether entries still vouch for the view.
-	confirmPoll = 250 * time.Millisecond
-	// confirmAgain is the pause between two questions: with them the view is found out
-	// within a second, and an outage of the store costs one call a second and agent.
-	confirmAgain = time.Second
+	// confirmCheckInterval is the interval of the checks whether an entry confirms the view.
+	confirmCheckInterval = 250 * time.Millisecond
+	// confirmQueryInterval is the pause between two reads of the store. With it the agent learns
+	// of a drain within a second, and reads cost at most one call per second and agent.
+	confirmQueryInterval = time.Second
 )
 
-// drainsWatch is what goroutines beside the loop know of drained data centres.
-type drainsWatch struct {
-	// unconfirmed is true while no entry vouches for the view.
+// sharedDrains is the part of the core's drain view that other goroutines read.
+type sharedDrains struct {
+	// unconfirmed is true while no entry confirms the view.
 	unconfirmed atomic.Bool
-	// known are the drained data centres; the loop alone writes them.
-	known atomic.Pointer[[]string]
+	// drained are the drained data centres; only the event loop writes them.
+	drained atomic.Pointer[[]string]
 }
 
-// dataCentres returns the drained data centres.
-func (d *drainsWatch) dataCentres() []string {
-	if known := d.known.Load(); known != nil {
-		return *known
+// dataCentres returns the drained data centres; nil if none are known.
+func (d *sharedDrains) dataCentres() []string {
+	if drained := d.drained.Load(); drained != nil {
+		return *drained
 	}
 	return nil
 }
 
-// watchDrains has the other goroutines know what the core knows.
-func (a *Agent) watchDrains(now time.Time) {
-	a.drains.unconfirmed.Store(a.core.DrainsUnconfirmed(now))
+// publishDrains copies the core's drain view to where other goroutines can read it.
+func (a *Agent) publishDrains(now time.Time) {
+	a.sharedDrains.unconfirmed.Store(a.core.DrainsUnconfirmed(now))
 	drained := a.core.DrainedDataCentres()
-	if slices.Equal(drained, a.drains.dataCentres()) {
+	if slices.Equal(drained, a.sharedDrains.dataCentres()) {
 		return
 	}
-	a.drains.known.Store(&drained)
+	a.sharedDrains.drained.Store(&drained)
 	telemetry.Gauge("drained_data_centres", a.deps.Metrics, int64(len(drained)))
-	a.dir.notify()
+	a.directory.wakeChooser()
 }
 
-// confirmDrains asks the store which data centres are drained while no entry can tell.
+// confirmDrains reads the drained data centres from the store while no entry confirms the view.
 func (a *Agent) confirmDrains(ctx context.Context) error {
-	pause := confirmPoll
+	pause := confirmCheckInterval
 	failing := false
 	for {
 		select {
@@ -57,13 +58,13 @@
 			return nil
 		case <-time.After(pause):
 		}
-		pause = confirmPoll
-		if !a.drains.unconfirmed.Load() {
+		pause = confirmCheckInterval
+		if !a.sharedDrains.unconfirmed.Load() {
 			continue
 		}
-		pause = confirmAgain
-		asking, cancel := context.WithTimeout(ctx, registryTimeout)
-		view, err := a.deps.Registry.Drains(asking)
+		pause = confirmQueryInterval
+		queryCtx, cancel := context.WithTimeout(ctx, registryTimeout)
+		view, err := a.deps.Registry.Drains(queryCtx)
 		cancel()
 		if err != nil {
 			if !failing {
--- a/service/runner/drains_test.go
+++ b/service/runner/drains_test.go
@@ -7,17 +7,19 @@
 	"peridotpick.example/wire/runs"
 )
 
-// TestAgentAsksTheStoreItself: while no entry vouches for what it knows of drains.
-func TestAgentAsksTheStoreItself(t *testing.T) {
-	a, _ := fleetOf(t, 1) // an entry that says nothing of drains
-	registry := a.deps.Registry.(*standInRegistry)
+// TestAgentReadsDrainsFromStoreIfNoEntryConfirmsThem checks that the agent reads the drained data
+// centres from the store while its entries send no drain view, and that it does not read them more
+// often than once a second.
+func TestAgentReadsDrainsFromStoreIfNoEntryConfirmsThem(t *testing.T) {
+	a, _ := startFleet(t, 1) // the entry sends no drain view
+	registry := a.deps.Registry.(*fakeRegistry)
 	registry.mu.Lock()
 	registry.drains = runs.Drains{Version: 3, DataCentres: []string{"d"}, Age: time.Millisecond}
 	registry.mu.Unlock()
-	await(t, "the store's word did not come", func() bool { return len(a.drains.dataCentres()) == 1 })
+	waitFor(t, "the drain view of the store is not in use", func() bool { return len(a.sharedDrains.dataCentres()) == 1 })
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	if registry.drainsAsked > 2 {
-		t.Errorf("asked %d times", registry.drainsAsked)
+	if registry.drainsCalls > 2 {
+		t.Errorf("the store was read %d times, want at most 2", registry.drainsCalls)
 	}
 }
--- a/service/runner/link.go
+++ b/service/runner/link.go
@@ -10,40 +10,41 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Silence of an entry after which its link is closed and opened anew. A link
-// with runs must be back before the lease is over.
+// Times after which a link without messages from its entry is closed and opened again, and the
+// intervals at which this is checked. A link whose entry has runs here is busy: it must be open
+// again before the lease of the entry expires.
 const (
-	silenceBusy = 260 * time.Millisecond
-	silenceIdle = 1500 * time.Millisecond
-	silencePoll = 50 * time.Millisecond
-	idlePoll    = 300 * time.Millisecond
+	busySilenceTimeout       = 260 * time.Millisecond
+	idleSilenceTimeout       = 1500 * time.Millisecond
+	busySilenceCheckInterval = 50 * time.Millisecond
+	idleSilenceCheckInterval = 300 * time.Millisecond
 )
 
-var lastLink atomic.Uint64
+var lastLinkID atomic.Uint64
 
-// link is an open link to an entry.
+// link is an open connection to an entry.
 type link struct {
-	id   core.LinkID
-	ring chan *runs.ToEntry
-	stop context.CancelFunc
-	// heard is when the entry's last message came, in Unix ns.
-	heard atomic.Int64
-	// busy is true while the entry has runs here: the entry speaks often then.
+	id        core.LinkID
+	sendQueue chan *runs.ToEntry
+	stop      context.CancelFunc
+	// lastReceived is the time of the last message from the entry, in Unix ns.
+	lastReceived atomic.Int64
+	// busy is true while the entry has runs here. The entry then sends messages often.
 	busy atomic.Bool
 }
 
-// enqueue hands a message to the writer, or closes a link that has fallen behind.
+// enqueue queues a message for the writer. If the queue is full, it closes the link.
 func (l *link) enqueue(msg *runs.ToEntry) {
 	select {
-	case l.ring <- msg:
+	case l.sendQueue <- msg:
 	default:
 		l.stop()
 	}
 }
 
-// serve opens a link to an entry and serves it until it breaks. It reports
+// serveLink opens a link to an entry and serves it until it breaks. It reports
 // whether the link was open.
-func (a *Agent) serve(ctx context.Context, address string) bool {
+func (a *Agent) serveLink(ctx context.Context, address string) bool {
 	dialing, cancel := context.WithTimeout(ctx, transport.DialTimeout)
 	defer cancel()
 	conn, err := a.deps.Transport.Dial(dialing, address)
@@ -57,22 +58,23 @@
 	if err != nil {
 		return false
 	}
-	hello, err := a.greet(stream, stop)
+	hello, err := a.handshake(stream, stop)
 	if err != nil {
 		return false
 	}
-	l := &link{id: core.LinkID(lastLink.Add(1)), ring: make(chan *runs.ToEntry, linkRing), stop: stop}
-	l.heard.Store(time.Now().UnixNano())
-	a.opened(address, l, hello)
-	go a.write(linkCtx, l, stream)
-	go l.watch(linkCtx)
-	a.read(l, stream)
-	a.closed(l, address)
+	l := &link{id: core.LinkID(lastLinkID.Add(1)), sendQueue: make(chan *runs.ToEntry, sendQueueSize), stop: stop}
+	l.lastReceived.Store(time.Now().UnixNano())
+	a.linkOpened(address, l, hello)
+	go a.writeLoop(linkCtx, l, stream)
+	go l.closeWhenSilent(linkCtx)
+	a.readLoop(l, stream)
+	a.linkClosed(l, address)
 	return true
 }
 
-// greet says who the agent is and hears who the entry is.
-func (a *Agent) greet(stream runs.AgentEnd, stop func()) (*runs.ToAgent, error) {
+// handshake sends the agent's first message and returns the entry's, which contains its hello. The
+// agent identifies itself later, once the core knows the link.
+func (a *Agent) handshake(stream runs.AgentEnd, stop func()) (*runs.ToAgent, error) {
 	timer := time.AfterFunc(transport.DialTimeout, stop)
 	defer timer.Stop()
 	if err := stream.Send(&runs.ToEntry{}); err != nil {
@@ -81,7 +83,8 @@
 	return stream.Recv()
 }
 
-func (a *Agent) opened(address string, l *link, first *runs.ToAgent) {
+// linkOpened announces a new link to the core and the directory. first is the entry's first message.
+func (a *Agent) linkOpened(address string, l *link, first *runs.ToAgent) {
 	var entry runs.Entry
 	if first.Hello != nil {
 		entry = *first.Hello
@@ -93,39 +96,42 @@
 		}
 		c.LinkUp(now, l.id, entry)
 	})
-	a.dir.learn(append(first.Entries, entry))
-	a.dir.opened(address, l)
+	a.directory.learn(append(first.Entries, entry))
+	a.directory.linkOpened(address, l)
 	a.log.Info().Str("entry", entry.Address).Uint64("incarnation", entry.Incarnation).Msg("agent: link up")
 }
 
-func (a *Agent) closed(l *link, address string) {
-	a.dir.closed(address)
+// linkClosed announces the end of a link to the core and the directory.
+func (a *Agent) linkClosed(l *link, address string) {
+	a.directory.linkClosed(address)
 	a.post(func(c *core.Core, now time.Time) {
 		delete(a.links, l.id)
 		c.LinkDown(now, l.id)
 	})
-	a.log.Info().Str("entry", address).Dur("silence", time.Since(time.Unix(0, l.heard.Load()))).Msg("agent: link down")
+	a.log.Info().Str("entry", address).Dur("silence", time.Since(time.Unix(0, l.lastReceived.Load()))).Msg("agent: link down")
 }
 
-func (a *Agent) read(l *link, stream runs.AgentEnd) {
+// readLoop passes messages of the entry to the core until the link breaks.
+func (a *Agent) readLoop(l *link, stream runs.AgentEnd) {
 	defer l.stop()
 	for {
 		msg, err := stream.Recv()
 		if err != nil {
 			return
 		}
-		l.heard.Store(time.Now().UnixNano())
+		l.lastReceived.Store(time.Now().UnixNano())
 		a.traffic.Received()
-		a.dir.learn(msg.Entries)
+		a.directory.learn(msg.Entries)
 		a.post(func(c *core.Core, now time.Time) { c.Receive(now, l.id, msg) })
 	}
 }
 
-func (a *Agent) write(ctx context.Context, l *link, stream runs.AgentEnd) {
+// writeLoop sends queued messages to the entry until the link breaks.
+func (a *Agent) writeLoop(ctx context.Context, l *link, stream runs.AgentEnd) {
 	defer l.stop()
 	for {
 		select {
-		case msg := <-l.ring:
+		case msg := <-l.sendQueue:
 			if stream.Send(msg) != nil {
 				return
 			}
@@ -136,14 +142,14 @@
 	}
 }
 
-// watch closes a link on which the entry has gone silent.
-func (l *link) watch(ctx context.Context) {
+// closeWhenSilent closes the link once no message has arrived for longer than the timeout.
+func (l *link) closeWhenSilent(ctx context.Context) {
 	for {
-		limit, poll := silenceIdle, idlePoll
+		limit, poll := idleSilenceTimeout, idleSilenceCheckInterval
 		if l.busy.Load() {
-			limit, poll = silenceBusy, silencePoll
+			limit, poll = busySilenceTimeout, busySilenceCheckInterval
 		}
-		if time.Since(time.Unix(0, l.heard.Load())) > limit {
+		if time.Since(time.Unix(0, l.lastReceived.Load())) > limit {
 			l.stop()
 			return
 		}
--- a/service/runner/search.go
+++ b/service/runner/search.go
@@ -9,51 +9,54 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Times of looking for entries.
+// Timing of the search for entries.
 const (
-	// searchMin and searchMax bound the pause between two attempts of an agent without
-	// links; it doubles from one to the other.
-	searchMin = 250 * time.Millisecond
-	searchMax = 2 * time.Second
-	// registryTimeout bounds one look into the registry.
+	// searchMinDelay and searchMaxDelay are the limits of the exponential backoff between two
+	// attempts.
+	searchMinDelay = 250 * time.Millisecond
+	searchMaxDelay = 2 * time.Second
+	// registryTimeout is the time limit of one call to the registry.
 	registryTimeout = time.Second
-	// registryPatience is how long the registry may take before a seed is tried beside it.
-	registryPatience = 100 * time.Millisecond
+	// seedFallbackDelay is how long the registry may take before a seed is tried as well.
+	seedFallbackDelay = 100 * time.Millisecond
 )
 
-// search finds entries for an agent without links. It reads a few rows of the registry from
-// a place of its own, so that a fleet that starts at once spreads over all entries; one
-// that is found tells of all others. Seeds are few and the same for many agents: they are
-// tried one at a time, when the registry does not answer, or lists nobody.
+// search finds entries for an agent without links. It reads a few rows of the registry, beginning
+// at a ring position that differs between agents, so that agents that start at the same time
+// spread over all entries. An entry that is found lists all others. Seeds are few and the same for
+// many agents; they are tried one at a time, and only if the registry does not answer or lists no
+// entry.
 type search struct {
 	directory *directory
-	attempt   int
-	at        time.Time
+	// attempt counts the attempts since the agent last had a link.
+	attempt     int
+	lastAttempt time.Time
 }
 
-// next makes an attempt if one is due.
-func (s *search) next(ctx context.Context) {
-	pause := min(searchMin<<min(s.attempt, 8), searchMax)
-	if s.attempt > 0 && time.Since(s.at) < pause {
+// tryNext makes an attempt to find entries if one is due.
+func (s *search) tryNext(ctx context.Context) {
+	pause := min(searchMinDelay<<min(s.attempt, 8), searchMaxDelay)
+	if s.attempt > 0 && time.Since(s.lastAttempt) < pause {
 		return
 	}
-	s.at = time.Now()
+	s.lastAttempt = time.Now()
 	attempt := s.attempt
 	s.attempt++
-	if !s.ask(ctx, attempt) && attempt > 0 {
+	if !s.queryRegistry(ctx, attempt) && attempt > 0 {
 		s.trySeed(attempt)
 	}
 }
 
-// ask reads the registry. It reports whether that has told of entries within a moment; what
-// comes later is taken all the same.
-func (s *search) ask(ctx context.Context, attempt int) bool {
+// queryRegistry reads entries from the registry. It reports whether no seed needs to be tried: the
+// registry has listed entries, a seed was tried after seedFallbackDelay, or ctx has ended. Entries
+// that the registry returns after the delay are used as well.
+func (s *search) queryRegistry(ctx context.Context, attempt int) bool {
 	found := make(chan bool, 1)
-	go func() { found <- s.read(ctx, attempt) }()
+	go func() { found <- s.readRegistry(ctx, attempt) }()
 	select {
 	case f := <-found:
 		return f
-	case <-time.After(registryPatience):
+	case <-time.After(seedFallbackDelay):
 		s.trySeed(attempt)
 		return true
 	case <-ctx.Done():
@@ -61,12 +64,13 @@
 	}
 }
 
-func (s *search) read(ctx context.Context, attempt int) bool {
+// readRegistry adds entries from the registry to the directory and reports whether there were any.
+func (s *search) readRegistry(ctx context.Context, attempt int) bool {
 	d := s.directory
-	asking, cancel := context.WithTimeout(ctx, registryTimeout)
+	readCtx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
 	place := registry.SearchPlace(d.agent.settings.Name, attempt)
-	rows, err := d.agent.deps.Registry.Entries(asking, place, registry.Few)
+	rows, err := d.agent.deps.Registry.Entries(readCtx, place, registry.Few)
 	if err != nil {
 		d.agent.log.Warn().Err(err).Msg("agent: the registry of entries does not answer")
 		return false
@@ -79,7 +83,7 @@
 	return len(entries) > 0
 }
 
-// trySeed takes one seed among the entries to link to.
+// trySeed adds one seed to the directory. Successive attempts go through the seeds by their rank.
 func (s *search) trySeed(attempt int) {
 	seeds := subset.Ranked(s.directory.agent.settings.Name, s.directory.agent.settings.Seeds)
 	if len(seeds) > 0 {
