--- a/service/explain/explain.go
+++ b/service/explain/explain.go
@@ -1,4 +1,5 @@
-// Package explain tells the story of one job from the logs of several processes.
+// Package explain merges the log lines about one job from the logs of several processes, and
+// explains how the job ended.
 package explain
 
 import (
@@ -13,42 +14,45 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxLine bounds a line of a log, in bytes; longer ones are passed over.
-const maxLine = 1 << 20
+// maxLineBytes is the longest line of a log that is read, in bytes; longer lines are skipped.
+const maxLineBytes = 1 << 20
 
-// Line is one line about a job.
+// Line is a log line about a job.
 type Line struct {
-	At     time.Time
+	At time.Time
+	// Source is the process: the last word in front of the JSON, or else the name of the log.
 	Source string
-	// Event is the line's sentence, such as "route: refuse".
-	Event  string
+	// Event is the message of the line, such as "route: refuse".
+	Event string
+	// Fields are the other fields of the line.
 	Fields map[string]any
 }
 
-// Story is what the logs tell of a job, in the order of time.
+// Story holds all log lines about a job, in the order of time.
 type Story struct {
 	Lines []Line
-	// Foreign counts lines that are no log lines of ours.
-	Foreign int
+	// Unparsed counts lines that are too long, or mention the job but are not log lines of this
+	// software.
+	Unparsed int
 }
 
-// Read adds the lines about a job from one log.
+// Read adds the lines about a job from one log. source is the name of the log.
 func (s *Story) Read(source string, log io.Reader, job string) error {
-	reader := bufio.NewReaderSize(log, maxLine)
+	reader := bufio.NewReaderSize(log, maxLineBytes)
 	for {
 		raw, err := reader.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
 			err = skipLine(reader)
-			s.Foreign++
+			s.Unparsed++
 			raw = nil
 		}
 		if len(raw) > 0 && strings.Contains(string(raw), job) {
-			s.take(source, raw, job)
+			s.addLine(source, raw, job)
 		}
 		switch err {
 		case nil:
 		case io.EOF:
-			s.sort()
+			s.sortByTime()
 			return nil
 		default:
 			return eris.Wrapf(err, "read %s", source)
@@ -56,7 +60,7 @@
 	}
 }
 
-// skipLine passes over the rest of a line.
+// skipLine skips the rest of a line.
 func skipLine(reader *bufio.Reader) error {
 	for {
 		if _, err := reader.ReadSlice('\n'); err != bufio.ErrBufferFull {
@@ -65,49 +69,49 @@
 	}
 }
 
-// take decodes a line. A line that other software has put something before, such
-// as a time or a name, is read from its first brace.
-func (s *Story) take(source string, raw []byte, job string) {
-	at := strings.IndexByte(string(raw), '{')
+// addLine decodes a line and adds it if it is about the job. Other software may have put a prefix
+// in front of the JSON, such as a time or a name; the line is decoded from its first brace on.
+func (s *Story) addLine(source string, raw []byte, job string) {
+	start := strings.IndexByte(string(raw), '{')
 	fields := make(map[string]any)
-	if at < 0 || json.Unmarshal(raw[at:], &fields) != nil {
-		s.Foreign++
+	if start < 0 || json.Unmarshal(raw[start:], &fields) != nil {
+		s.Unparsed++
 		return
 	}
-	if prefix := strings.Fields(string(raw[:at])); len(prefix) > 0 {
+	if prefix := strings.Fields(string(raw[:start])); len(prefix) > 0 {
 		source = prefix[len(prefix)-1]
 	}
-	if fields["job"] != job && !strings.HasPrefix(text(fields["task"]), job+".") {
+	if fields["job"] != job && !strings.HasPrefix(asString(fields["task"]), job+".") {
 		return
 	}
-	when, err := time.Parse(time.RFC3339Nano, text(fields["time"]))
+	when, err := time.Parse(time.RFC3339Nano, asString(fields["time"]))
 	if err != nil {
-		s.Foreign++
+		s.Unparsed++
 		return
 	}
-	event := text(fields["message"])
+	event := asString(fields["message"])
 	for _, known := range []string{"time", "message", "level", "part", "job"} {
 		delete(fields, known)
 	}
 	s.Lines = append(s.Lines, Line{At: when, Source: source, Event: event, Fields: fields})
 }
 
-func text(v any) string {
+// asString returns a JSON value as a string; empty if it is none.
+func asString(v any) string {
 	s, _ := v.(string)
 	return s
 }
 
-func (s *Story) sort() {
+func (s *Story) sortByTime() {
 	sort.SliceStable(s.Lines, func(i, j int) bool { return s.Lines[i].At.Before(s.Lines[j].At) })
 }
 
-// ending are the events that end a job at its entry, worst first.
-var ending = []string{"route: refuse", "route: give up", "route: caller gone", "route: done"}
+// endEvents are the events of an entry that explain the end of a job, in the order of precedence.
+var endEvents = []string{"route: refuse", "route: give up", "route: caller gone", "route: done"}
 
-// End returns the first line that explains the job's end; ok is false if the
-// logs do not tell it.
+// End returns the line that explains how the job ended; ok is false if there is none.
 func (s *Story) End() (line Line, ok bool) {
-	for _, event := range ending {
+	for _, event := range endEvents {
 		for _, l := range s.Lines {
 			if l.Event == event {
 				return l, true
@@ -117,7 +121,7 @@
 	return Line{}, false
 }
 
-// Causes counts the runs that did not complete, by how, reason and worker.
+// Causes counts the runs that did not complete, by outcome, reason and worker.
 func (s *Story) Causes() map[string]int {
 	causes := make(map[string]int)
 	for _, l := range s.Lines {
@@ -129,30 +133,31 @@
 	return causes
 }
 
-// Print writes the story with the time since the line before.
+// Print writes all lines, each with the time since the previous one, and then how the job ended.
 func (s *Story) Print(w io.Writer) error {
-	var before time.Time
+	var previous time.Time
 	for _, l := range s.Lines {
 		since := time.Duration(0)
-		if !before.IsZero() {
-			since = l.At.Sub(before)
+		if !previous.IsZero() {
+			since = l.At.Sub(previous)
 		}
-		before = l.At
+		previous = l.At
 		if _, err := fmt.Fprintf(w, "%s %+10.3fms %-20s %-18s %s\n", l.At.Format("15:04:05.000000"),
-			float64(since)/float64(time.Millisecond), l.Source, l.Event, details(l.Fields)); err != nil {
+			float64(since)/float64(time.Millisecond), l.Source, l.Event, formatFields(l.Fields)); err != nil {
 			return eris.Wrap(err, "print")
 		}
 	}
 	return s.printEnd(w)
 }
 
+// printEnd writes how the job ended, why it was late, and which runs did not complete.
 func (s *Story) printEnd(w io.Writer) error {
 	end, ok := s.End()
 	if !ok {
 		_, err := fmt.Fprintln(w, "the logs do not tell how it ended")
 		return eris.Wrap(err, "print")
 	}
-	if _, err := fmt.Fprintf(w, "ended: %s %s\n", end.Event, details(end.Fields)); err != nil {
+	if _, err := fmt.Fprintf(w, "ended: %s %s\n", end.Event, formatFields(end.Fields)); err != nil {
 		return eris.Wrap(err, "print")
 	}
 	if late, known := s.Late(); known && end.Event == "route: done" {
@@ -174,8 +179,8 @@
 	return nil
 }
 
-// details writes the fields that say something, by name.
-func details(fields map[string]any) string {
+// formatFields formats the fields that are neither empty nor 0, sorted by name.
+func formatFields(fields map[string]any) string {
 	names := make([]string, 0, len(fields))
 	for name, value := range fields {
 		if value != "" && value != float64(0) {
--- a/service/explain/explain_test.go
+++ b/service/explain/explain_test.go
@@ -17,7 +17,7 @@
 const agentLog = `  10.2 side-1 {"level":"info","part":"agent","task":"00000000000000aa.0.0.0","run":1,"time":"2026-04-22T02:34:53.4Z","message":"agent: end stopped"}
 `
 
-func TestTellsTheStoryInOrderAndItsEnd(t *testing.T) {
+func TestReadMergesLogsInOrderOfTime(t *testing.T) {
 	is := is.New(t)
 	var s Story
 	is.NoErr(s.Read("entry.log", strings.NewReader(entryLog), "00000000000000aa"))
@@ -27,7 +27,7 @@
 		events = append(events, l.Source+" "+l.Event)
 	}
 	is.Equal(events, []string{"entry.log route: admit", "side-1 agent: end stopped", "entry.log route: end", "entry.log route: give up"})
-	is.Equal(s.Foreign, 2)
+	is.Equal(s.Unparsed, 2)
 	end, ok := s.End()
 	is.True(ok)
 	is.Equal(end.Fields["reason"], "deadline")
@@ -37,10 +37,10 @@
 	is.True(strings.Contains(b.String(), "ended: route: give up reason=deadline"))
 }
 
-func TestPassesOverHugeLines(t *testing.T) {
+func TestLongLinesAreSkipped(t *testing.T) {
 	is := is.New(t)
 	var s Story
-	log := strings.Repeat("x", 3*maxLine) + "\n" + agentLog
+	log := strings.Repeat("x", 3*maxLineBytes) + "\n" + agentLog
 	is.NoErr(s.Read("a", strings.NewReader(log), "00000000000000aa"))
 	is.Equal(len(s.Lines), 1)
 	_, ok := s.End()
@@ -57,18 +57,18 @@
 {"part":"route","job":"j","age":201,"expected":150,"time":"2026-04-22T02:34:53.201Z","message":"route: done"}
 `
 
-func TestTellsWhyAJobWasLate(t *testing.T) {
+func TestLateNamesCauseOfDelay(t *testing.T) {
 	is := is.New(t)
 	var s Story
 	is.NoErr(s.Read("all", strings.NewReader(lateLogs), "j"))
 	late, ok := s.Late()
 	is.True(ok)
-	is.Equal(late, Slowest{Task: "j.0.0.0", Worker: "w1", Begun: 1, Waited: 135, Ran: 65, ExpectedWait: 10, ExpectedRun: 60})
+	is.Equal(late, LastTask{Task: "j.0.0.0", Worker: "w1", StartDelay: 1, Waited: 135, Ran: 65, ExpectedWait: 10, ExpectedRun: 60})
 	is.Equal(late.Cause(), "it waited for room")
-	is.Equal(Slowest{Ran: 90, ExpectedRun: 30, Waited: 5}.Cause(), "it ran long")
-	is.Equal(Slowest{Begun: 300, Ran: 90, ExpectedRun: 30}.Cause(), "its last run began late")
-	is.Equal(Slowest{Begun: 300, Deferred: true}.Cause(), "the job was deferred until room stayed free")
-	is.Equal(Slowest{Ran: 300, Deferred: true}.Cause(), "it ran long") // deferred, but not for long
+	is.Equal(LastTask{Ran: 90, ExpectedRun: 30, Waited: 5}.Cause(), "it ran long")
+	is.Equal(LastTask{StartDelay: 300, Ran: 90, ExpectedRun: 30}.Cause(), "its last run began late")
+	is.Equal(LastTask{StartDelay: 300, Deferred: true}.Cause(), "the job was deferred until room stayed free")
+	is.Equal(LastTask{Ran: 300, Deferred: true}.Cause(), "it ran long") // deferred, but not for long
 	var b strings.Builder
 	is.NoErr(s.Print(&b))
 	is.True(strings.Contains(b.String(), "last to end: j.0.0.0 on w1, began after 1.0 ms, waited 135.0 ms (10.0 expected), ran 65.0 ms (60.0 expected), it waited for room"))
--- a/service/explain/late.go
+++ b/service/explain/late.go
@@ -5,52 +5,52 @@
 	"strings"
 )
 
-// Slowest is the task that ended last, which decides when its job ends. Times are
-// in ms.
-type Slowest struct {
+// LastTask is the task that ended last and thereby determined the end of its job. Times are in ms.
+type LastTask struct {
 	Task, Worker string
-	// Begun is the time from the job's first line to the last start of the task,
-	// which is long if earlier runs of it did not complete.
-	Begun float64
-	// Waited is the time that the last run waited at its agent for room, Ran the time
-	// at the worker. Expected are those that the entry expected.
+	// StartDelay is the time from the job's first line to the last start of the task. It is
+	// long if earlier runs of the task did not complete.
+	StartDelay float64
+	// Waited is the time that the last run waited at its agent for free resources, Ran its run
+	// time at the worker. ExpectedWait and ExpectedRun are the times that the entry expected.
 	Waited, Ran, ExpectedWait, ExpectedRun float64
-	// Deferred is true if the job had to wait for room that stays free.
+	// Deferred is true if the entry deferred the job until enough resources stayed free.
 	Deferred bool
 }
 
-// Late returns the task that ended last; ok is false if the logs lack its start,
-// or its end at the agent.
-func (s *Story) Late() (late Slowest, ok bool) {
-	end := s.last("route: end", "", nil)
+// Late returns the task that ended last; ok is false if the logs lack its start at the entry or its
+// end at the agent.
+func (s *Story) Late() (late LastTask, ok bool) {
+	end := s.lastLine("route: end", "", nil)
 	if end == nil {
 		return late, false
 	}
-	task := text(end.Fields["task"])
-	start := s.last("route: start", task, end)
-	atAgent := s.last("agent: end done", task, nil)
+	task := asString(end.Fields["task"])
+	start := s.lastLine("route: start", task, end)
+	atAgent := s.lastLine("agent: end done", task, nil)
 	if start == nil || atAgent == nil {
 		return late, false
 	}
-	late = Slowest{
-		Task: task, Worker: text(end.Fields["worker"]), Ran: number(atAgent.Fields["age"]),
-		Begun:        float64(start.At.Sub(s.Lines[0].At).Microseconds()) / 1000,
-		ExpectedWait: number(start.Fields["wait"]), Deferred: s.last("route: defer", "", nil) != nil,
+	late = LastTask{
+		Task: task, Worker: asString(end.Fields["worker"]), Ran: asFloat(atAgent.Fields["age"]),
+		StartDelay:   float64(start.At.Sub(s.Lines[0].At).Microseconds()) / 1000,
+		ExpectedWait: asFloat(start.Fields["wait"]), Deferred: s.lastLine("route: defer", "", nil) != nil,
 	}
-	late.Waited = max(number(end.Fields["age"])-late.Ran, 0)
-	late.ExpectedRun = max(number(start.Fields["expected"])-late.ExpectedWait, 0)
+	late.Waited = max(asFloat(end.Fields["age"])-late.Ran, 0)
+	late.ExpectedRun = max(asFloat(start.Fields["expected"])-late.ExpectedWait, 0)
 	return late, true
 }
 
-// last returns the last line of an event, of a task if one is given, that is not
-// after another line. Ends count only if their run was done.
-func (s *Story) last(event, task string, before *Line) *Line {
+// lastLine returns the last line of an event. If given, task limits it to the lines of a task,
+// and before to lines that are not later than another one. An end of a run counts only if the run
+// was done.
+func (s *Story) lastLine(event, task string, before *Line) *Line {
 	for i := len(s.Lines) - 1; i >= 0; i-- {
 		l := &s.Lines[i]
 		switch {
-		case l.Event != event, task != "" && text(l.Fields["task"]) != task:
+		case l.Event != event, task != "" && asString(l.Fields["task"]) != task:
 		case before != nil && l.At.After(before.At):
-		case event == "route: end" && text(l.Fields["how"]) != "done":
+		case event == "route: end" && asString(l.Fields["how"]) != "done":
 		default:
 			return l
 		}
@@ -58,18 +58,19 @@
 	return nil
 }
 
-func number(v any) float64 {
+// asFloat returns a JSON value as a number; 0 if it is none.
+func asFloat(v any) float64 {
 	n, _ := v.(float64)
 	return n
 }
 
-// Cause names what took most of the time beyond what was expected.
-func (l Slowest) Cause() string {
+// Cause names the part of the job's time that exceeded its expectation most.
+func (l LastTask) Cause() string {
 	waited, ran := l.Waited-l.ExpectedWait, l.Ran-l.ExpectedRun
 	switch {
-	case l.Begun >= waited && l.Begun >= ran && l.Deferred:
+	case l.StartDelay >= waited && l.StartDelay >= ran && l.Deferred:
 		return "the job was deferred until room stayed free"
-	case l.Begun >= waited && l.Begun >= ran:
+	case l.StartDelay >= waited && l.StartDelay >= ran:
 		return "its last run began late"
 	case waited >= ran:
 		return "it waited for room"
@@ -78,9 +79,9 @@
 }
 
 // String returns the line that explains a late end.
-func (l Slowest) String() string {
+func (l LastTask) String() string {
 	parts := []string{
-		fmt.Sprintf("last to end: %s on %s", l.Task, l.Worker), fmt.Sprintf("began after %.1f ms", l.Begun),
+		fmt.Sprintf("last to end: %s on %s", l.Task, l.Worker), fmt.Sprintf("began after %.1f ms", l.StartDelay),
 		fmt.Sprintf("waited %.1f ms (%.1f expected)", l.Waited, l.ExpectedWait),
 		fmt.Sprintf("ran %.1f ms (%.1f expected)", l.Ran, l.ExpectedRun), l.Cause(),
 	}
--- a/service/lifecycle/lifecycle.go
+++ b/service/lifecycle/lifecycle.go
@@ -1,5 +1,5 @@
-// Package lifecycle runs the duties of a process until it is asked to end, then lets it
-// drain. Entries and agents of both kinds share it.
+// Package lifecycle runs the goroutines of a process until it is asked to stop, and then lets it
+// drain. Entries and agents of both kinds use it.
 package lifecycle
 
 import (
@@ -9,26 +9,26 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Duty is what one goroutine of a process does until its context ends.
+// Duty is a routine that one goroutine of a process runs until its context ends.
 type Duty func(ctx context.Context) error
 
-// Process is what Run needs of a process.
+// Process describes a process to Run.
 type Process struct {
-	// Work is the context of all duties, Abort ends it.
+	// Work is the parent context of all routines; Abort cancels it.
 	Work  context.Context
 	Abort func()
-	// Drain lets work that has begun end, once the process is asked to end; nil if nothing
-	// is to be waited for. It must return when Work ends.
+	// Drain is called once when the process is asked to stop, and waits for work that has begun.
+	// It is nil if there is nothing to wait for. It must return when its context ends.
 	Drain func(work context.Context)
 }
 
-// Run carries out duties until ctx ends, or one of them fails. It returns the first error of
-// a duty.
-func Run(ctx context.Context, p Process, duties ...Duty) error {
+// Run runs the routines until ctx ends or one of them fails. When ctx ends, it drains the process
+// before it stops the routines. It returns the first error of a routine.
+func Run(ctx context.Context, p Process, routines ...Duty) error {
 	defer p.Abort()
 	group, work := errgroup.WithContext(p.Work)
-	for _, duty := range duties {
-		group.Go(func() error { return duty(work) })
+	for _, routine := range routines {
+		group.Go(func() error { return routine(work) })
 	}
 	select {
 	case <-ctx.Done():
@@ -41,18 +41,18 @@
 	return group.Wait()
 }
 
-// idlePoll is how often a draining process looks whether it is idle.
-const idlePoll = 20 * time.Millisecond
+// idlePollInterval is the interval at which AwaitIdle calls its function.
+const idlePollInterval = 20 * time.Millisecond
 
-// AwaitIdle waits until a draining process is idle, a time has passed or its work has ended.
-// It reports whether the process is idle.
+// AwaitIdle waits until idle returns true, for at most limit or until work ends. It reports whether
+// idle has returned true.
 func AwaitIdle(work context.Context, limit time.Duration, idle func() bool) bool {
 	deadline := time.Now().Add(limit)
 	for time.Now().Before(deadline) && work.Err() == nil {
 		if idle() {
 			return true
 		}
-		time.Sleep(idlePoll)
+		time.Sleep(idlePollInterval)
 	}
 	return false
 }
--- a/service/lifecycle/lifecycle_test.go
+++ b/service/lifecycle/lifecycle_test.go
@@ -9,32 +9,32 @@
 	"github.com/matryer/is"
 )
 
-// process returns a process whose drain is counted.
-func process(drained *int) Process {
+// newProcess returns a Process that counts the calls of Drain.
+func newProcess(drained *int) Process {
 	work, abort := context.WithCancel(context.Background())
 	return Process{Work: work, Abort: abort, Drain: func(context.Context) { *drained++ }}
 }
 
-// untilEnd is a duty that goes on until it is ended.
-func untilEnd(ctx context.Context) error {
+// waitForCancel is a routine that waits for the end of its context.
+func waitForCancel(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
 }
 
-func TestProcessThatIsAskedToEndDrains(t *testing.T) {
+func TestRunDrainsWhenCancelled(t *testing.T) {
 	is := is.New(t)
 	drained := 0
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	is.NoErr(Run(ctx, process(&drained), untilEnd, untilEnd))
+	is.NoErr(Run(ctx, newProcess(&drained), waitForCancel, waitForCancel))
 	is.Equal(drained, 1)
 }
 
-func TestFailedDutyEndsTheOthersWithoutDraining(t *testing.T) {
+func TestFailedRoutineStopsOthersWithoutDraining(t *testing.T) {
 	is := is.New(t)
 	drained := 0
 	failed := errors.New("failed")
-	is.Equal(Run(context.Background(), process(&drained), untilEnd, func(context.Context) error { return failed }), failed)
+	is.Equal(Run(context.Background(), newProcess(&drained), waitForCancel, func(context.Context) error { return failed }), failed)
 	is.Equal(drained, 0)
 }
 
--- a/service/runner/directory.go
+++ b/service/runner/directory.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// setEndsDelivered sets whether the agent keeps no undelivered ends. While there are some, the agent
-// links to all entries, since any of them may have taken over the jobs of these ends.
+// setEndsDelivered sets whether the agent keeps no undelivered ends. While there are some, the
+// agent links to all entries, since any of them may have taken over the jobs of these ends.
 func (d *directory) setEndsDelivered(delivered bool) {
 	if d.undeliveredEnds.Swap(!delivered) == delivered {
 		d.wakeChooser()
@@ -147,8 +147,8 @@
 	d.choiceValid = d.choiceValid && !undelivered && d.linksMatchChoice()
 }
 
-// linksMatchChoice reports whether exactly the wanted entries are linked. It is false if no entry is
-// known. The caller holds mu.
+// linksMatchChoice reports whether exactly the wanted entries are linked. It is false if no entry
+// is known. The caller holds mu.
 func (d *directory) linksMatchChoice() bool {
 	for _, c := range d.contacts {
 		if c.wanted != (c.link != nil) {
--- a/service/runner/directory_test.go
+++ b/service/runner/directory_test.go
@@ -241,8 +241,8 @@
 	return n
 }
 
-// TestSeedsAreTriedOneAtATimeIfRegistryIsEmpty checks that an agent links to one seed only. Many agents
-// have the same seeds, which would otherwise get a link from each of them.
+// TestSeedsAreTriedOneAtATimeIfRegistryIsEmpty checks that an agent links to one seed only. Many
+// agents have the same seeds, which would otherwise get a link from each of them.
 func TestSeedsAreTriedOneAtATimeIfRegistryIsEmpty(t *testing.T) {
 	is := is.New(t)
 	var fleet []*fakeEntry
@@ -265,8 +265,8 @@
 	waitFor(t, "the next seed is not linked", func() bool { return len(linked(fleet)) > 0 })
 }
 
-// TestChoiceIsNotRepeatedWithoutChanges checks that an agent whose chosen entries are linked does not
-// choose again, which costs CPU with hundreds of entries.
+// TestChoiceIsNotRepeatedWithoutChanges checks that an agent whose chosen entries are linked does
+// not choose again, which costs CPU with hundreds of entries.
 func TestChoiceIsNotRepeatedWithoutChanges(t *testing.T) {
 	is := is.New(t)
 	a, fleet := startFleet(t, subset.Total+6)
@@ -282,8 +282,8 @@
 	is.Equal(choices(), before)
 }
 
-// TestAgentLinksToTheOnlyReachableEntry checks that an entry that was not chosen gets a link once all
-// other entries are unreachable.
+// TestAgentLinksToTheOnlyReachableEntry checks that an entry that was not chosen gets a link once
+// all other entries are unreachable.
 func TestAgentLinksToTheOnlyReachableEntry(t *testing.T) {
 	_, fleet := startFleet(t, subset.Total+6)
 	chosen := chosenEntries(fleet)
--- a/service/runner/link.go
+++ b/service/runner/link.go
@@ -83,7 +83,8 @@
 	return stream.Recv()
 }
 
-// linkOpened announces a new link to the core and the directory. first is the entry's first message.
+// linkOpened announces a new link to the core and the directory. first is the entry's first
+// message.
 func (a *Agent) linkOpened(address string, l *link, first *runs.ToAgent) {
 	var entry runs.Entry
 	if first.Hello != nil {
--- a/service/telemetry/telemetry.go
+++ b/service/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry serves a process's metrics as text that Prometheus reads.
+// Package telemetry serves the metrics of a process in the text format of Prometheus.
 package telemetry
 
 import (
@@ -15,17 +15,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// readHeaderTimeout bounds the time in which a request must arrive.
+// readHeaderTimeout is the time limit for reading the header of a request.
 const readHeaderTimeout = 5 * time.Second
 
-// Path is where the metrics are served.
+// Path is the URL path of the metrics.
 const Path = "/metrics"
 
-// quantiles are those that histograms are shown by.
+// quantiles are the quantiles that are written for each histogram.
 var quantiles = []float64{0.5, 0.9, 0.99, 0.999}
 
-// Serve serves a registry at an IP:port until ctx ends, and profiles of the process
-// (processor, heap) under /debug/pprof/ if asked to.
+// Serve serves the metrics of a registry at an IP:port until ctx ends. If profiles is true, it also
+// serves CPU and heap profiles of the process under /debug/pprof/.
 func Serve(ctx context.Context, address string, registry metrics.Registry, profiles bool) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -51,7 +51,8 @@
 	return nil
 }
 
-// Write writes all metrics of a registry. A reader that goes away is no error.
+// Write writes all metrics of a registry. Write errors are ignored, since the reader may
+// disconnect.
 func Write(w io.Writer, registry metrics.Registry) {
 	registry.Each(func(name string, metric any) {
 		name = "peridotpick_" + strings.NewReplacer(".", "_", "-", "_", " ", "_").Replace(name)
@@ -74,23 +75,24 @@
 	_, _ = fmt.Fprintf(w, "%s_sum %d\n%s_count %d\n", name, h.Sum(), name, h.Count())
 }
 
-// sampleSize and sampleAlpha make histograms favour the last minutes.
+// sampleSize and sampleAlpha are the parameters of the exponentially decaying samples of
+// histograms, which are biased to the last minutes.
 const (
 	sampleSize  = 512
 	sampleAlpha = 0.015
 )
 
-// Histogram returns the registry's histogram of a name.
+// Histogram returns the registry's histogram with the given name, and creates it if it is missing.
 func Histogram(name string, registry metrics.Registry) metrics.Histogram {
 	return metrics.GetOrRegisterHistogram(name, registry, metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 }
 
-// Count raises the registry's counter of a name.
+// Count increments the registry's counter with the given name.
 func Count(name string, registry metrics.Registry) {
 	metrics.GetOrRegisterCounter(name, registry).Inc(1)
 }
 
-// Gauge sets the registry's gauge of a name.
+// Gauge sets the registry's gauge with the given name.
 func Gauge(name string, registry metrics.Registry, value int64) {
 	metrics.GetOrRegisterGauge(name, registry).Update(value)
 }
--- a/service/telemetry/telemetry_test.go
+++ b/service/telemetry/telemetry_test.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 )
 
-func TestWritesEachKind(t *testing.T) {
+func TestWriteSupportsAllMetricTypes(t *testing.T) {
 	is := is.New(t)
 	r := metrics.NewRegistry()
 	Count("jobs.admit", r)
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestTrafficIsLoggedByRate: an on-call engineer sees from the log alone what links cost.
-func TestTrafficIsLoggedByRate(t *testing.T) {
+// TestTrafficRatesAreLoggedPeriodically checks that the cost of links can be seen in the log alone.
+func TestTrafficRatesAreLoggedPeriodically(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
 	log := zerolog.New(&out)
@@ -40,14 +40,14 @@
 		traffic.Sent()
 	}
 	traffic.Received()
-	traffic.Log(begin.Add(trafficEvery-time.Second), log, "entry: traffic", 3)
+	traffic.Log(begin.Add(trafficLogInterval-time.Second), log, "entry: traffic", 3)
 	is.Equal(out.Len(), 0)
-	traffic.Log(begin.Add(trafficEvery), log, "entry: traffic", 3)
+	traffic.Log(begin.Add(trafficLogInterval), log, "entry: traffic", 3)
 	is.True(strings.Contains(out.String(), `"with":"agents","links":3,"sent_per_s":5,"received_per_s":0.1,"message":"entry: traffic"`))
 }
 
-// TestProfilesAreServedOnlyIfAskedFor: they cost processor time.
-func TestProfilesAreServedOnlyIfAskedFor(t *testing.T) {
+// TestProfilesAreServedOnlyIfEnabled checks that profiles, which cost CPU time, are off by default.
+func TestProfilesAreServedOnlyIfEnabled(t *testing.T) {
 	is := is.New(t)
 	for _, asked := range []bool{false, true} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
