--- a/service/runner/agent.go
+++ b/service/runner/agent.go
@@ -40,7 +40,7 @@
 type Registry interface {
 	// Entries lists at most limit registered entries, in the order of the hash ring of their
 	// addresses, beginning at a position on the ring.
-	Entries(ctx context.Context, place uint64, limit int) ([]registry.Row, error)
+	Entries(ctx context.Context, position uint64, limit int) ([]registry.Row, error)
 	// SaveWorker stores a worker's last announcement under its agent's name.
 	SaveWorker(ctx context.Context, w runs.Worker) error
 	// LoadWorker returns the stored announcement; its ID is empty if there is none.
@@ -140,6 +140,7 @@
 	return err
 }
 
+// drain stops new work and waits for runs to end, at most DrainTimeout.
 func (a *Agent) drain(work context.Context) {
 	a.log.Info().Str("agent", a.settings.Name).Msg("agent: draining")
 	a.post(func(c *core.Core, now time.Time) { c.Drain(now) })
@@ -167,7 +168,7 @@
 // must not overlap.
 func (a *Agent) WorkerAnnounced(info runs.Worker, clock int64) {
 	if info.DataCentre == "" {
-		info.DataCentre = a.settings.DataCentre // beside the agent
+		info.DataCentre = a.settings.DataCentre // the worker is in the same data centre as its agent
 	}
 	a.post(func(c *core.Core, now time.Time) {
 		if !c.Announced(now, info, clock) {
--- a/service/runner/link.go
+++ b/service/runner/link.go
@@ -20,6 +20,7 @@
 	idleSilenceCheckInterval = 300 * time.Millisecond
 )
 
+// lastLinkID is the ID of the newest link of the process.
 var lastLinkID atomic.Uint64
 
 // link is an open connection to an entry.
@@ -42,12 +43,12 @@
 	}
 }
 
-// serveLink opens a link to an entry and serves it until it breaks. It reports
-// whether the link was open.
+// serveLink opens a link to an entry and serves it until it breaks. It reports whether the link was
+// open.
 func (a *Agent) serveLink(ctx context.Context, address string) bool {
-	dialing, cancel := context.WithTimeout(ctx, transport.DialTimeout)
+	dialCtx, cancel := context.WithTimeout(ctx, transport.DialTimeout)
 	defer cancel()
-	conn, err := a.deps.Transport.Dial(dialing, address)
+	conn, err := a.deps.Transport.Dial(dialCtx, address)
 	if err != nil {
 		return false
 	}
@@ -58,13 +59,13 @@
 	if err != nil {
 		return false
 	}
-	hello, err := a.handshake(stream, stop)
+	first, err := a.handshake(stream, stop)
 	if err != nil {
 		return false
 	}
 	l := &link{id: core.LinkID(lastLinkID.Add(1)), sendQueue: make(chan *runs.ToEntry, sendQueueSize), stop: stop}
 	l.lastReceived.Store(time.Now().UnixNano())
-	a.linkOpened(address, l, hello)
+	a.linkOpened(address, l, first)
 	go a.writeLoop(linkCtx, l, stream)
 	go l.closeWhenSilent(linkCtx)
 	a.readLoop(l, stream)
@@ -146,16 +147,16 @@
 // closeWhenSilent closes the link once no message has arrived for longer than the timeout.
 func (l *link) closeWhenSilent(ctx context.Context) {
 	for {
-		limit, poll := idleSilenceTimeout, idleSilenceCheckInterval
+		timeout, interval := idleSilenceTimeout, idleSilenceCheckInterval
 		if l.busy.Load() {
-			limit, poll = busySilenceTimeout, busySilenceCheckInterval
+			timeout, interval = busySilenceTimeout, busySilenceCheckInterval
 		}
-		if time.Since(time.Unix(0, l.lastReceived.Load())) > limit {
+		if time.Since(time.Unix(0, l.lastReceived.Load())) > timeout {
 			l.stop()
 			return
 		}
 		select {
-		case <-time.After(poll):
+		case <-time.After(interval):
 		case <-ctx.Done():
 			return
 		}
--- a/service/runner/search.go
+++ b/service/runner/search.go
@@ -69,8 +69,8 @@
 	d := s.directory
 	readCtx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	place := registry.SearchPlace(d.agent.settings.Name, attempt)
-	rows, err := d.agent.deps.Registry.Entries(readCtx, place, registry.Few)
+	position := registry.SearchPlace(d.agent.settings.Name, attempt)
+	rows, err := d.agent.deps.Registry.Entries(readCtx, position, registry.Few)
 	if err != nil {
 		d.agent.log.Warn().Err(err).Msg("agent: the registry of entries does not answer")
 		return false
