--- a/core/batch/admit.go
+++ b/core/batch/admit.go
@@ -7,48 +7,51 @@
 	"peridotpick.example/core/policy"
 )
 
-// refusal is a truthful "not run", unless the job is deferred.
+// refusal is why a job is not admitted. Nothing of the job has run.
 type refusal struct {
 	kind       errkind.Kind
 	reason     string
 	retryAfter time.Duration
-	// late is set if the job could run, but not end in time.
-	late bool
+	// deferrable is set if the job may still run, though too late for its objective.
+	deferrable bool
 }
 
-// retrySoon is when a caller may come back after a passing refusal.
-const retrySoon = time.Second
+// retryDelay is the delay after which a caller may submit a job again that was refused for a
+// temporary reason.
+const retryDelay = time.Second
 
-// admit decides whether a job is taken. What cannot end in time is refused
-// before anything of it starts: it would use room that others need to end in time.
+// admit decides whether a job is admitted. A job that cannot meet its objective is refused before
+// any of its tasks starts: it would use resources that others need to meet theirs.
 func (c *Core) admit(j *job) (plan, *refusal) {
 	p := c.planJob(j)
-	return p, c.judge(j, p)
+	return p, c.checkAdmission(j, p)
 }
 
-// judge returns why a job cannot be taken, or nil.
-func (c *Core) judge(j *job, p plan) *refusal {
+// checkAdmission returns why a job cannot be admitted with the given plan, or nil.
+func (c *Core) checkAdmission(j *job, p plan) *refusal {
 	slack := p.slack - c.settings.Overhead
-	likely := c.likelyWait(p.delay)
+	expectedWait := c.correctedWait(p.delay)
 	switch {
-	case len(p.places) == 0 && p.missing > 0:
-		return &refusal{errkind.Overloaded, c.noWorkerReason(j.queue.Service), retrySoon, c.newborn(j.queue.Service)}
-	case likely > slack:
-		return &refusal{errkind.Overloaded, "no room in time", retrySoon, true}
-	case c.settings.Policy.Has(policy.Yield) && c.yields.givesWay(c.now, j.queue):
-		return &refusal{errkind.Overloaded, "gives way", retrySoon, true}
+	case len(p.placements) == 0 && p.missing > 0:
+		return &refusal{errkind.Overloaded, c.noWorkerReason(j.queue.Service), retryDelay, c.isStartingUp(j.queue.Service)}
+	case expectedWait > slack:
+		return &refusal{errkind.Overloaded, "no room in time", retryDelay, true}
+	case c.settings.Policy.Has(policy.Yield) && c.losses.mustYield(c.now, j.queue):
+		return &refusal{errkind.Overloaded, "gives way", retryDelay, true}
 	}
 	return nil
 }
 
-// likelyWait returns the real wait to expect of a predicted one.
-func (c *Core) likelyWait(predicted time.Duration) time.Duration {
+// correctedWait returns the wait to expect for a predicted one, from the measured waits of earlier
+// runs.
+func (c *Core) correctedWait(predicted time.Duration) time.Duration {
 	if !c.settings.Policy.Has(policy.LearnedWaits) {
 		return predicted
 	}
-	return c.waits.likely(predicted)
+	return c.waits.expect(predicted)
 }
 
+// refuse answers the request of a job that is not admitted.
 func (c *Core) refuse(id RequestID, r refusal) {
 	c.out.Answers = append(c.out.Answers, Answer{Request: id, Kind: r.kind, RetryAfter: r.retryAfter})
 }
--- a/core/batch/agents.go
+++ b/core/batch/agents.go
@@ -8,112 +8,118 @@
 	"peridotpick.example/wire/runs"
 )
 
-// agent is an agent with an open link, as this entry sees it.
+// agent is the entry's view of an agent with an open link.
 type agent struct {
 	link   LinkID
 	worker runs.Worker
-	// greeted is true once the runs that the entry believes to be there were sent.
-	greeted bool
-	load    runs.Load
-	loadAt  time.Time
-	heardAt time.Time
-	// heard counts the messages.
-	heard uint64
-	// clock is the newest reading of the agent's clock, received at clockAt.
+	// registered is set once the agent has described its worker and was sent the runs that the
+	// entry believes it to have.
+	registered     bool
+	load           runs.Load
+	loadAt         time.Time
+	lastReceivedAt time.Time
+	// messages is the number of messages received.
+	messages uint64
+	// clock is the newest reading of the agent's clock in nanoseconds, received at clockAt.
 	clock   int64
 	clockAt time.Time
-	// sent counts the starts; inFlight are those the load does not include yet.
-	sent     uint64
-	inFlight []start
-	out      runs.ToAgent
-	dirty    bool
-	lastSent time.Time
-	runs     int
+	// startsSent is the number of starts sent; inFlight are those that the newest load report does
+	// not include.
+	startsSent uint64
+	inFlight   []inFlightStart
+	// out is the pending message; dirty is set if it must be sent with the next flush.
+	out        runs.ToAgent
+	dirty      bool
+	lastSentAt time.Time
+	// runCount is the number of runs that the entry believes the agent to have.
+	runCount int
+	// probedAt is when a run was last sent there although the worker was unhealthy.
 	probedAt time.Time
-	// drainsToldAt is when it was last told which data centres are drained.
-	drainsToldAt time.Time
-	// trial is what the plan of number plan has put here so far.
-	trial trial
-	plan  uint64
+	// drainsSentAt is when the agent was last sent the view of the drained data centres.
+	drainsSentAt time.Time
+	// planned is what the plan with the number plannedIn has assigned to the agent.
+	planned   plannedLoad
+	plannedIn uint64
 }
 
-// start is a start that the newest load does not include.
-type start struct {
+// inFlightStart is a start that the newest load report does not include.
+type inFlightStart struct {
+	// seq is the value of agent.startsSent after the start.
 	seq  uint64
 	need room.Room
 }
 
 // lostAgent is an agent whose link broke.
 type lostAgent struct {
-	// overAt is when all runs of this entry there are certainly over.
-	overAt time.Time
+	// runsOverAt is when all runs of this entry at the agent are certainly over.
+	runsOverAt time.Time
 }
 
-// usable reports whether an agent may be given runs.
-func (a *agent) usable(now time.Time, silentAfter time.Duration) bool {
-	return a.greeted && a.worker.ID != "" && !a.worker.Draining && !a.worker.Released && now.Sub(a.heardAt) < silentAfter
+// isUsable reports whether an agent may be given runs.
+func (a *agent) isUsable(now time.Time, silentAfter time.Duration) bool {
+	return a.registered && a.worker.ID != "" && !a.worker.Draining && !a.worker.Released && now.Sub(a.lastReceivedAt) < silentAfter
 }
 
-// sharers is the number of entries that an agent works with, this one included.
+// sharers returns the number of entries that an agent works with, this one included.
 func (a *agent) sharers() int { return max(a.load.Sharers, 1) }
 
-// free returns the room that is probably left at an agent's worker for a run with
-// some slack: without the runs at the worker, those on their way, and those that
-// wait and go first.
-func (c *Core) free(a *agent, slack time.Duration) room.Room {
-	left := a.load.Free
+// freeResources returns the resources that an agent's worker probably has for a run with the given
+// slack: without the runs at the worker, starts in flight and waiting runs that go first.
+func (c *Core) freeResources(a *agent, slack time.Duration) room.Room {
+	free := a.load.Free
 	band := runs.SlackBands
 	if c.settings.Policy.Has(policy.SlackBands) {
 		band = runs.SlackBand(slack)
 	}
 	for i, cpu := range a.load.Waiting {
 		if i <= band {
-			left.CPU -= cpu
+			free.CPU -= cpu
 		}
 	}
 	for _, s := range a.inFlight {
-		left = left.Minus(s.need)
+		free = free.Minus(s.need)
 	}
-	return left
+	return free
 }
 
 const (
-	// fewAgents is the number of agents below which an entry asks for all: one that is
-	// drained and one that fails leave a choice then.
-	fewAgents = 4
-	// shortAfter is how long it must have had fewer. When everything has just started
-	// agents come within a second; if all entries asked for all agents then, each pair
-	// of them would open a link.
-	shortAfter = 3 * time.Second
+	// minAgents is the number of agents below which the entry asks all agents to work with it. With
+	// this many a choice is left if one agent is drained and another one fails.
+	minAgents = 4
+	// shortDelay is how long the entry must have had fewer agents. Agents connect within a second
+	// of a start of the whole deployment. If all entries asked for all agents in that time, each
+	// agent would open a link to each entry.
+	shortDelay = 3 * time.Second
 )
 
-// Short reports whether so few agents work with this entry of their own choice that it
-// has to ask for all of them. In a fleet with many entries and few agents some entries
-// would have none: what they own would never run. An entry that no other one hears is
-// not short: it is cut off, and its agents come back by themselves.
-func (c *Core) Short(heard bool) bool {
-	own := 0
+// Short reports whether so few agents work with this entry of their own choice that it has to ask
+// for all of them. In a deployment with many entries and few agents some entries would otherwise
+// have none, and their jobs would never run. The argument tells whether any other entry is in
+// contact with this one. An entry without such contact is cut off rather than short: its agents
+// come back by themselves.
+func (c *Core) Short(inContact bool) bool {
+	chosen := 0
 	for a := range c.agents.Values() {
-		if a.greeted && !a.worker.OnDemand && !a.worker.Released {
-			own++
+		if a.registered && !a.worker.OnDemand && !a.worker.Released {
+			chosen++
 		}
 	}
-	if own >= fewAgents || c.enoughAt.IsZero() || !heard {
-		c.enoughAt = c.now
+	if chosen >= minAgents || c.enoughAgentsAt.IsZero() || !inContact {
+		c.enoughAgentsAt = c.now
 	}
-	return c.now.Sub(c.enoughAt) > shortAfter
+	return c.now.Sub(c.enoughAgentsAt) > shortDelay
 }
 
-// LinkUp opens a link to an agent.
+// LinkUp handles the opening of a link to an agent.
 func (c *Core) LinkUp(now time.Time, id LinkID) {
-	c.Now(now)
-	c.agents.Put(id, &agent{link: id, heardAt: now})
+	c.Advance(now)
+	c.agents.Put(id, &agent{link: id, lastReceivedAt: now})
 }
 
-// LinkDown closes a link. Runs there are in doubt until the agent is back or
-// their leases have passed.
+// LinkDown handles the loss of a link. The outcome of runs at the agent is unknown until it is back
+// or their leases have expired.
 func (c *Core) LinkDown(now time.Time, id LinkID) {
-	c.Now(now)
+	c.Advance(now)
 	a := c.agents.Get(id)
 	if a == nil {
 		return
@@ -122,51 +128,52 @@
 	if a.worker.Agent == "" {
 		return
 	}
-	over := a.lastSent.Add(c.settings.OwnerLease + c.settings.WorkerLease)
-	if old := c.lost.Get(a.worker.Agent); old == nil || old.overAt.Before(over) {
-		c.lost.Put(a.worker.Agent, &lostAgent{overAt: over})
+	runsOverAt := a.lastSentAt.Add(c.settings.OwnerLease + c.settings.WorkerLease)
+	if old := c.lostAgents.Get(a.worker.Agent); old == nil || old.runsOverAt.Before(runsOverAt) {
+		c.lostAgents.Put(a.worker.Agent, &lostAgent{runsOverAt: runsOverAt})
 	}
 	reason := "link closed"
 	if a.worker.Released {
 		reason = "works with other entries"
 	}
-	c.note(Note{Event: "agent lost", Agent: a.worker.Agent, Worker: a.worker.ID, Reason: reason, Age: now.Sub(a.heardAt)})
+	c.logDecision(Note{Event: "agent lost", Agent: a.worker.Agent, Worker: a.worker.ID, Reason: reason, Age: now.Sub(a.lastReceivedAt)})
 }
 
 // Receive handles a message of an agent.
 func (c *Core) Receive(now time.Time, id LinkID, msg *runs.ToEntry) {
-	c.Now(now)
+	c.Advance(now)
 	a := c.agents.Get(id)
 	if a == nil {
 		return
 	}
-	a.heardAt = now
-	a.heard++
+	a.lastReceivedAt = now
+	a.messages++
 	if msg.Clock > a.clock {
 		a.clock = msg.Clock
 		a.clockAt = now
 	}
 	if msg.Worker != nil {
-		c.workerTold(a, msg.Worker)
+		c.updateWorker(a, msg.Worker)
 	}
 	if msg.Load != nil {
-		a.takeLoad(now, msg.Load)
+		a.updateLoad(now, msg.Load)
 	}
 	for _, p := range msg.Progress {
-		c.progressOf(a, p)
+		c.updateProgress(a, p)
 	}
 	for i := range msg.Ends {
-		c.endTold(a, msg.Ends[i])
+		c.receiveEnd(a, msg.Ends[i])
 	}
 	for _, end := range msg.Unowned {
-		c.endTold(a, end)
+		c.receiveEnd(a, end)
 	}
 	if msg.Load != nil || msg.Worker != nil {
 		c.placeWaiting()
 	}
 }
 
-func (a *agent) takeLoad(now time.Time, load *runs.Load) {
+// updateLoad handles a load report.
+func (a *agent) updateLoad(now time.Time, load *runs.Load) {
 	a.load = *load
 	a.loadAt = now
 	for len(a.inFlight) > 0 && a.inFlight[0].seq <= load.Seen {
@@ -174,78 +181,79 @@
 	}
 }
 
-// workerTold takes what an agent says of its worker. The first time, the entry
-// tells the agent which runs it believes to be there.
-func (c *Core) workerTold(a *agent, w *runs.Worker) {
-	c.noteWorker(a, w)
-	c.noteVanished(&a.worker, w)
+// updateWorker handles an agent's description of its worker. After the first one on a link the
+// entry sends the runs that it believes the agent to have.
+func (c *Core) updateWorker(a *agent, w *runs.Worker) {
+	c.logWorkerChange(a, w)
+	c.addVanishedWorker(&a.worker, w)
 	a.worker = *w
-	if a.greeted {
+	if a.registered {
 		return
 	}
-	a.greeted = true
-	c.mark(a)
-	c.closeFormer(a)
+	a.registered = true
+	c.markDirty(a)
+	c.closePreviousLinks(a)
 	a.out.Owned = []runs.Owned{}
-	for _, t := range c.tasksAt(w.Agent) {
+	for _, t := range c.tasksPlacedAt(w.Agent) {
 		a.out.Owned = append(a.out.Owned, runs.Owned{Key: t.key(), Need: t.step.Need, Estimate: t.step.estimate, Durable: t.job.durable != nil})
-		t.on = a.link
-		a.runs++
+		t.link = a.link
+		a.runCount++
 		t.stopping, t.moving = false, false
 		if t.job.ended {
-			c.stop(t)
+			c.stopRun(t)
 		}
 	}
-	c.lost.Delete(w.Agent)
+	c.lostAgents.Delete(w.Agent)
 }
 
-// closeFormer closes an older link of the same agent, which has gone silent.
-func (c *Core) closeFormer(a *agent) {
+// closePreviousLinks closes older links of the same agent.
+func (c *Core) closePreviousLinks(a *agent) {
 	for id, other := range c.agents.All() {
-		if other != a && other.greeted && other.worker.Agent == a.worker.Agent {
+		if other != a && other.registered && other.worker.Agent == a.worker.Agent {
 			c.agents.Delete(id)
 			c.out.Closes = append(c.out.Closes, id)
 		}
 	}
 }
 
-// noteWorker logs what is believed of an agent's worker from now on, and why, if that
-// is something new. An agent that has no usable worker names none.
-func (c *Core) noteWorker(a *agent, told *runs.Worker) {
-	was, is := &a.worker, told
-	if was.Agent != "" && was.ID == is.ID && was.Draining == is.Draining && was.Released == is.Released {
+// logWorkerChange logs a change of what is known of an agent's worker. A description without a
+// worker ID means that the agent has no usable worker.
+func (c *Core) logWorkerChange(a *agent, update *runs.Worker) {
+	previous, current := &a.worker, update
+	if previous.Agent != "" && previous.ID == current.ID && previous.Draining == current.Draining && previous.Released == current.Released {
 		return
 	}
-	n := Note{Event: "worker", Agent: is.Agent, Worker: is.ID, Reason: "usable"}
+	n := Note{Event: "worker", Agent: current.Agent, Worker: current.ID, Reason: "usable"}
 	switch {
-	case is.ID == "" && was.ID == "":
+	case current.ID == "" && previous.ID == "":
 		n.Reason = "none yet"
-	case is.ID == "":
-		n.Worker, n.Reason = was.ID, "gone, out of reach or not looked at"
-	case is.Released:
+	case current.ID == "":
+		n.Worker, n.Reason = previous.ID, "gone, out of reach or not looked at"
+	case current.Released:
 		n.Reason = "works with other entries"
-	case is.Draining:
+	case current.Draining:
 		n.Reason = "draining"
-	case was.ID != "" && was.ID != is.ID:
+	case previous.ID != "" && previous.ID != current.ID:
 		n.Reason = "usable, after another incarnation"
 	}
-	c.note(n)
+	c.logDecision(n)
 }
 
-// expireLost ends the runs at lost agents whose leases have passed.
+// expireLost ends the runs at lost agents whose leases have expired.
 func (c *Core) expireLost() {
-	for name, l := range c.lost.All() {
-		if c.now.Before(l.overAt) {
+	for name, l := range c.lostAgents.All() {
+		if c.now.Before(l.runsOverAt) {
 			continue
 		}
-		c.lost.Delete(name)
-		for _, t := range c.tasksAt(name) {
-			c.endOf(t.worker, runs.End{Key: t.key(), How: runs.Gone})
+		c.lostAgents.Delete(name)
+		for _, t := range c.tasksPlacedAt(name) {
+			c.handleEnd(t.worker, runs.End{Key: t.key(), How: runs.Gone})
 		}
 	}
 }
 
-func (c *Core) tasksAt(agentName string) []*task {
+// tasksPlacedAt returns the tasks with a run at an agent.
+func (c *Core) tasksPlacedAt(agentName string) []*task {
 	var list []*task
 	for j := range c.jobs.Values() {
 		for i := range j.steps {
@@ -259,70 +267,71 @@
 	return list
 }
 
-// mark has an agent get a message with the next flush.
-func (c *Core) mark(a *agent) {
+// markDirty makes the next flush send a message to an agent.
+func (c *Core) markDirty(a *agent) {
 	if !a.dirty {
 		a.dirty = true
-		c.marked = append(c.marked, a)
+		c.dirtyAgents = append(c.dirtyAgents, a)
 	}
 }
 
-// beatEvery is the shortest time between two walks over all agents for those that must
-// hear a beat: a tenth of the shortest one. A walk for each event was 40% of the work of
-// an entry with 240 agents (processor profile of the emulator).
-const beatEvery = 10 * time.Millisecond
+// heartbeatCheckInterval is the shortest time between two scans of all agents for due heartbeats, a
+// tenth of the shortest heartbeat interval. A scan after each event takes 40% of the processor time
+// of an entry with 240 agents.
+const heartbeatCheckInterval = 10 * time.Millisecond
 
-// flushAgents sends what is to be sent to agents.
+// flushAgents sends pending messages and due heartbeats to agents.
 func (c *Core) flushAgents() {
-	marked := c.marked
-	c.marked = nil
-	for _, a := range marked {
+	dirty := c.dirtyAgents
+	c.dirtyAgents = nil
+	for _, a := range dirty {
 		if c.agents.Get(a.link) == a {
 			c.flushAgent(a)
 		}
 	}
-	if c.now.Sub(c.beatAt) < beatEvery {
+	if c.now.Sub(c.heartbeatsCheckedAt) < heartbeatCheckInterval {
 		return
 	}
-	c.beatAt = c.now
+	c.heartbeatsCheckedAt = c.now
 	for a := range c.agents.Values() {
 		c.flushAgent(a)
 	}
 }
 
-// flushAgent sends what has gathered for an agent, or a heartbeat.
+// flushAgent sends an agent its pending message, or a heartbeat if one is due.
 func (c *Core) flushAgent(a *agent) {
 	if a.clock == 0 {
 		return // nothing may be sent before the agent's clock is known
 	}
-	beat := c.settings.IdleBeat
-	if a.runs > 0 {
-		beat = c.settings.Beat
+	interval := c.settings.IdleBeat
+	if a.runCount > 0 {
+		interval = c.settings.Beat
 	}
-	if !a.dirty && c.now.Sub(a.lastSent) < beat {
+	if !a.dirty && c.now.Sub(a.lastSentAt) < interval {
 		return
 	}
 	msg := a.out
 	msg.Clock = a.clock + int64(c.now.Sub(a.clockAt))
-	c.tellDrains(a, &msg)
+	c.addDrains(a, &msg)
 	a.out = runs.ToAgent{}
 	a.dirty = false
-	a.lastSent = c.now
+	a.lastSentAt = c.now
 	c.out.Sends = append(c.out.Sends, Send{Link: a.link, Msg: &msg})
 }
 
-// stop has the run of a task end, which nobody wants any more.
-func (c *Core) stop(t *task) {
-	a := c.agents.Get(t.on)
+// stopRun requests the stop of a task's run whose result is no longer needed.
+func (c *Core) stopRun(t *task) {
+	a := c.agents.Get(t.link)
 	if t.stopping && !t.moving || a == nil {
 		return
 	}
 	t.stopping, t.moving = true, false
 	a.out.Stops = append(a.out.Stops, t.key())
-	c.mark(a)
+	c.markDirty(a)
 }
 
-func (c *Core) progressOf(a *agent, p runs.Progress) {
+// updateProgress handles the progress of a run, as reported by its agent.
+func (c *Core) updateProgress(a *agent, p runs.Progress) {
 	t := c.byTask[p.Key.Task]
 	if t == nil || t.state != taskPlaced || t.run != p.Key.Run {
 		return
@@ -332,7 +341,7 @@
 		return
 	}
 	if p.Waiting {
-		t.waitsAt = a.heard
+		t.waitingReport = a.messages
 		return
 	}
 	t.slow = true
--- a/core/batch/answer.go
+++ b/core/batch/answer.go
@@ -6,52 +6,55 @@
 	"peridotpick.example/common/errkind"
 )
 
-// giveUp answers all requests of a job and ends it.
+// giveUp ends a job without success and answers its requests. The answer to a job that is out of
+// time may be delayed by up to proofTimeout.
 func (c *Core) giveUp(j *job, kind errkind.Kind, reason string) {
 	if j.ended {
 		return
 	}
 	c.failDurable(j, kind)
-	c.note(Note{Event: "give up", Job: j.name, Queue: j.queue.Name, Version: j.version, Reason: reason, Age: c.now.Sub(j.arrived), Deferred: j.wasDeferred})
-	if kind != outOfTime || j.begun || !j.placed() {
-		c.answer(j, c.truthful(j, kind))
-		c.endJob(j)
+	c.logDecision(Note{Event: "give up", Job: j.name, Queue: j.queue.Name, Version: j.version, Reason: reason, Age: c.now.Sub(j.arrived), Deferred: j.wasDeferred})
+	if kind != outOfTime || j.begun || !j.hasPlacedRun() {
+		c.answerRequests(j, c.reportedKind(j, kind))
+		c.stopJob(j)
 		return
 	}
-	j.answerBy = c.now.Add(proofWait)
-	c.endJob(j)
+	j.proofDeadline = c.now.Add(proofTimeout)
+	c.stopJob(j)
 }
 
-// proofWait is how long the answer of a job that is given up waits for the proof
-// that nothing of it began: a few round trips. With the proof the caller may come
-// back; without it a job that must not run twice is lost to the caller.
-const proofWait = 40 * time.Millisecond
+// proofTimeout is how long the answer of a job that is out of time waits for the proof that nothing
+// of it began: a few round trips. With the proof the caller may submit the job again. Without it a
+// job that must not run twice is lost to the caller.
+const proofTimeout = 40 * time.Millisecond
 
-// truthful turns a job's end for lack of time into what can be said of it.
-func (c *Core) truthful(j *job, kind errkind.Kind) errkind.Kind {
+// reportedKind returns the error kind to report for a job that ended with the given one. For a job
+// out of time it depends on whether anything of the job may have begun.
+func (c *Core) reportedKind(j *job, kind errkind.Kind) errkind.Kind {
 	switch {
 	case kind != outOfTime:
 		return kind
-	case j.begun || j.placed():
+	case j.begun || j.hasPlacedRun():
 		return errkind.DeadlineExceeded
 	}
 	return errkind.Overloaded
 }
 
-// answerProved answers a job that was given up once all its runs are over, or
-// when the answer may wait no longer.
-func (c *Core) answerProved(j *job) {
-	if j.answerBy.IsZero() || j.placed() && !j.begun && c.now.Before(j.answerBy) {
+// answerIfProven answers a job that was given up, once all its runs are over, one is known to have
+// begun, or proofTimeout has passed.
+func (c *Core) answerIfProven(j *job) {
+	if j.proofDeadline.IsZero() || j.hasPlacedRun() && !j.begun && c.now.Before(j.proofDeadline) {
 		return
 	}
-	j.answerBy = time.Time{}
-	c.answer(j, c.truthful(j, outOfTime))
+	j.proofDeadline = time.Time{}
+	c.answerRequests(j, c.reportedKind(j, outOfTime))
 }
 
-func (c *Core) answer(j *job, kind errkind.Kind) {
+// answerRequests answers all open requests of a job.
+func (c *Core) answerRequests(j *job, kind errkind.Kind) {
 	retryAfter := time.Duration(0)
 	if errkind.Of(kind).Retry {
-		retryAfter = retrySoon
+		retryAfter = retryDelay
 	}
 	for _, id := range j.requests {
 		delete(c.byRequest, id)
@@ -60,6 +63,5 @@
 	j.requests = nil
 }
 
-// outOfTime gives a job up for lack of time. What the caller is told depends on
-// whether anything of it began.
+// outOfTime is the kind with which giveUp is called for lack of time. reportedKind translates it.
 const outOfTime = errkind.DeadlineTooShort
--- a/core/batch/backlog.go
+++ b/core/batch/backlog.go
@@ -6,115 +6,120 @@
 )
 
 const (
-	// durableAhead is the longest expected wait for room with which a durable task
-	// is sent to an agent. What waits longer stays here, where order can change.
-	durableAhead = 30 * time.Millisecond
-	// durablePatience is how long such a run may wait at its agent.
-	durablePatience = 2 * time.Second
-	// backlogEvery is the shortest time between two walks of the backlog, and
-	// backlogMisses the number of jobs without room after which a walk ends: under
-	// overload each walk would otherwise cost a comparison of all jobs and workers.
-	backlogEvery  = 10 * time.Millisecond
-	backlogMisses = 6
-	// priorityStep is the waiting time that makes up for one step of priority, so
-	// that less urgent queues get on, too.
-	priorityStep = 2 * time.Second
+	// maxDurableWait is the longest expected wait for resources with which a durable task is sent
+	// to an agent. Tasks that would wait longer stay in the entry, where their order can still
+	// change.
+	maxDurableWait = 30 * time.Millisecond
+	// durableStartTimeout is how long a durable run may wait for its start at an agent.
+	durableStartTimeout = 2 * time.Second
+	// backlogScanInterval is the shortest time between two scans of the backlog, and
+	// backlogScanMisses the number of jobs that find no capacity after which a scan ends. Under
+	// overload each scan would otherwise compare all jobs with all workers.
+	backlogScanInterval = 10 * time.Millisecond
+	backlogScanMisses   = 6
+	// priorityStepWait is the waiting time that outweighs one step of priority, so that queues of
+	// lower priority make progress too.
+	priorityStepWait = 2 * time.Second
 )
 
-// mayStart reports whether tasks of a job may be started now.
-func (c *Core) mayStart(j *job) bool {
+// canStart reports whether tasks of a job may be started now. Tasks of a durable job need a
+// confirmed ownership, and the runs of a previous owner must be over.
+func (c *Core) canStart(j *job) bool {
 	d := j.durable
-	return d == nil || c.now.Before(c.ownedUntil) && !c.now.Before(d.safeAt)
+	return d == nil || c.now.Before(c.ownershipUntil) && !c.now.Before(d.safeAt)
 }
 
-// placeDurable sends those tasks of a job out that will soon have room. It reports
-// whether none is left.
+// placeDurable starts the tasks of a durable job that are expected to get resources soon. It
+// reports whether no task that may start is left.
 func (c *Core) placeDurable(j *job) bool {
-	if !c.mayStart(j) {
+	if !c.canStart(j) {
 		return false
 	}
-	p := c.planWithin(j, durableAhead)
-	if len(p.places) > 0 && j.durable.state == JobQueued {
+	p := c.planWithin(j, maxDurableWait)
+	if len(p.placements) > 0 && j.durable.state == JobQueued {
 		j.durable.state = JobRunning
-		c.changed(j, recordBegin)
+		c.scheduleRecord(j, beginRecordDelay)
 	}
-	c.carryOut(p)
-	return p.missing == 0 && !p.held
+	c.startPlan(p)
+	return p.missing == 0 && !p.truncated
 }
 
-// placeBacklog places tasks of durable jobs, the most urgent first.
+// placeBacklog starts waiting tasks of durable jobs, the most urgent jobs first.
 func (c *Core) placeBacklog() {
-	if c.now.Sub(c.backlogAt) < backlogEvery {
+	if c.now.Sub(c.backlogScannedAt) < backlogScanInterval {
 		return
 	}
-	c.backlogAt = c.now
-	c.walks++
-	var waiting []backlogged
+	c.backlogScannedAt = c.now
+	c.backlogScans++
+	var waiting []waitingJob
 	for j := range c.jobs.Values() {
-		if j.durable != nil && !j.ended && c.mayStart(j) && j.hasWaiting() {
-			waiting = append(waiting, backlogged{job: j, use: c.useOf(j), turn: j.turn()})
+		if j.durable != nil && !j.ended && c.canStart(j) && j.hasWaitingTask() {
+			waiting = append(waiting, waitingJob{job: j, usefulness: c.usefulnessOf(j), virtualDeadline: j.virtualDeadline()})
 		}
 	}
-	sort.SliceStable(waiting, func(i, k int) bool { return waiting[i].goesBefore(waiting[k]) })
+	sort.SliceStable(waiting, func(i, k int) bool { return waiting[i].isBefore(waiting[k]) })
 	misses := 0
 	for _, w := range waiting {
 		if !c.placeDurable(w.job) {
 			misses++
 		}
-		if misses >= backlogMisses {
+		if misses >= backlogScanMisses {
 			break
 		}
 	}
-	c.backlogged = misses > 0
+	c.hasBacklog = misses > 0
 }
 
-// use tells what a job's end is still good for.
-type use uint8
+// usefulness tells whether a job that starts now still ends in time. Lower values go first.
+type usefulness uint8
 
 const (
-	// inAim jobs can still end within their objective, usable ones soon after.
-	inAim use = iota
-	usable
-	// outlived jobs end too late for their callers' purpose. They were accepted, so
-	// they are run, but not before others that would become late as well.
-	outlived
+	// meetsObjective jobs can still meet their objective, stillUseful ones can end while their
+	// answer is useful.
+	meetsObjective usefulness = iota
+	stillUseful
+	// noLongerUseful jobs end too late for their callers' purpose. They are run because they
+	// were accepted, but not before jobs that would become late as well.
+	noLongerUseful
 )
 
-// outlivedTurn is the number of walks of which one begins with the jobs that have
-// outlived their use, so that they get on under lasting overload, too.
-const outlivedTurn = 8
+// uselessFirstPeriod is the period, in scans, of the scans in which jobs that are no longer useful
+// count like those that meet their objective, so that they make progress under a lasting overload.
+const uselessFirstPeriod = 8
 
-func (c *Core) useOf(j *job) use {
+// usefulnessOf returns the usefulness of a job for the current scan.
+func (c *Core) usefulnessOf(j *job) usefulness {
 	switch slack := j.slackLeft(c.now); {
 	case slack >= 0:
-		return inAim
-	case slack >= -(lateFactor-1)*j.objective:
-		return usable
+		return meetsObjective
+	case slack >= -(usefulFactor-1)*j.objective:
+		return stillUseful
 	}
-	if c.walks%outlivedTurn == 0 {
-		return inAim
+	if c.backlogScans%uselessFirstPeriod == 0 {
+		return meetsObjective
 	}
-	return outlived
+	return noLongerUseful
 }
 
-// backlogged is a durable job with tasks that wait for room.
-type backlogged struct {
-	job  *job
-	use  use
-	turn time.Time
+// waitingJob is a durable job with tasks that wait for capacity.
+type waitingJob struct {
+	job             *job
+	usefulness      usefulness
+	virtualDeadline time.Time
 }
 
-// goesBefore orders the backlog. The load it answers: after an outage of the store or
-// the loss of an entry seconds of work wait; first come, first served would then make
-// all later jobs late as well, for as long as the load is near the room there is.
-func (b backlogged) goesBefore(other backlogged) bool {
-	if b.use != other.use {
-		return b.use < other.use
+// isBefore orders the backlog by usefulness, then by virtual deadline. After an outage of the store
+// or the loss of an entry, several seconds of work wait. In order of arrival they would make all
+// later jobs late too, for as long as the load stays close to the capacity.
+func (w waitingJob) isBefore(other waitingJob) bool {
+	if w.usefulness != other.usefulness {
+		return w.usefulness < other.usefulness
 	}
-	return b.turn.Before(other.turn)
+	return w.virtualDeadline.Before(other.virtualDeadline)
 }
 
-// turn orders jobs of the same use.
-func (j *job) turn() time.Time {
-	return j.arrived.Add(j.objective + time.Duration(j.queue.Priority)*priorityStep)
+// virtualDeadline returns the time by which jobs of the same usefulness are ordered: the end of the
+// job's objective, later for queues of lower priority.
+func (j *job) virtualDeadline() time.Time {
+	return j.arrived.Add(j.objective + time.Duration(j.queue.Priority)*priorityStepWait)
 }
--- a/core/batch/bench_test.go
+++ b/core/batch/bench_test.go
@@ -9,8 +9,8 @@
 	"peridotpick.example/wire/runs"
 )
 
-// BenchmarkPlan plans a job of one task among the agents that an entry may have: 26 is what
-// a subset gives it in a fleet of 55 entries and 240 agents, whatever its size.
+// BenchmarkPlan plans a job of one task for numbers of agents that an entry may have. 26 is the
+// size of an entry's subset in a deployment of 55 entries and 240 agents.
 func BenchmarkPlan(b *testing.B) {
 	for _, agents := range []int{26, 240, 2700} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
--- a/core/batch/core.go
+++ b/core/batch/core.go
@@ -1,24 +1,28 @@
-// Package batch is the decision core of an entry that serves jobs whose answer
-// is awaited on the open connection: it admits or refuses a job, places its tasks
-// on leased workers, replaces runs that did not end well, and answers once.
+// Package batch is the decision core of an entry for awaited and durable jobs. It admits or refuses
+// jobs, places their tasks on leased workers, replaces runs that did not complete their task, and
+// reports each result once.
 //
-// The core is deterministic: events and time go in, an Output with messages and
-// answers comes out. It has no clock, socket, goroutine or log.
+// The core is deterministic: it takes events with the current time and returns an Output with
+// messages, answers, records and decisions. It has no clock, sockets, goroutines or log.
 //
-// Nothing about awaited jobs is stored. If the entry is lost, so is the job: its
-// runs end with the entry's lease, before the caller sends the job again.
+// An awaited job is one whose caller waits for the answer on an open connection. Nothing about it
+// is stored. If the entry is lost, the job is lost too: its runs end with the entry's lease, before
+// the caller submits the job again.
 //
-// Edge cases:
-//   - A run is replaced only after its agent has said that it is over, or after
-//     both the entry's lease at the agent and the worker's lease have passed.
-//   - A refusal as "not run" is given only if every start of the job was proved
-//     not to have begun.
-//   - An entry that was suspended for longer than its leases ends all its jobs:
-//     their runs are over and their callers may have come back elsewhere.
+// A durable job is kept in the store. The core runs it for the entry that owns it there. The ends
+// of its runs are recorded before agents may forget them, and the job is given up as soon as the
+// entry can no longer be sure of its ownership.
+//
+// Each job has an objective, the time from arrival within which it should end. Its slack is the
+// time that its tasks may still wait without missing the objective. The answer of a job that misses
+// its objective stays useful until usefulFactor times the objective has passed.
 //
-// Durable jobs are run by the same core for the entry that owns them in the store.
-// Their ends are recorded before agents may forget them, and they are given up as
-// soon as the entry is not sure any more to own them.
+// Edge cases:
+//   - A run is replaced only after its agent has reported its end, or after both the entry's lease
+//     at the agent and the worker's lease have expired.
+//   - A job is refused as "not run" only if every start of the job is proven not to have begun.
+//   - An entry that was suspended for longer than its leases ends all its awaited jobs: their runs
+//     are over and their callers may have resubmitted them to another entry.
 package batch
 
 import (
@@ -34,80 +38,83 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Settings of a core.
+// Settings configures a core.
 type Settings struct {
-	// Seed makes entries choose differently among equal workers.
+	// Seed seeds the random choice among equal workers, so that entries choose differently.
 	Seed uint64
-	// DataCentre is the entry's own.
+	// DataCentre is the data centre of the entry.
 	DataCentre string
-	// OwnerLease is the lease that each message grants at an agent.
+	// OwnerLease is the duration of the lease that each message to an agent grants for the entry's
+	// runs.
 	OwnerLease time.Duration
-	// WorkerLease bounds how long a worker runs on without its agent, all included.
+	// WorkerLease is the longest time for which a worker continues its runs without contact to its
+	// agent, including all delays.
 	WorkerLease time.Duration
-	// Beat is the longest silence towards an agent with runs, IdleBeat towards others.
+	// Beat is the heartbeat interval on links to agents with runs, IdleBeat on other links.
 	Beat, IdleBeat time.Duration
-	// SilentAfter is the silence of an agent after which it gets no new runs.
+	// SilentAfter is the time without a message from an agent after which it gets no new runs.
 	SilentAfter time.Duration
-	// StallLimit is the gap between two events after which the entry must have
-	// been suspended.
+	// StallLimit is the gap between two events above which the entry is taken to have been
+	// suspended.
 	StallLimit time.Duration
-	// Settling is how long new jobs are refused after a suspension, since what is
-	// read then may have been sent long before.
+	// Settling is how long new jobs are refused after a suspension. Requests that are read in this
+	// time may have been sent long before.
 	Settling time.Duration
-	// RemoteFactor is how many times longer a task takes away from its data.
+	// RemoteFactor is the factor on the run time of a task whose data is not in the worker's rack.
 	RemoteFactor float64
-	// CrossCost is the time that a data centre's border adds to a start and its end.
+	// CrossCost is the time that starting a task in another data centre and reporting its end takes
+	// in addition.
 	CrossCost time.Duration
-	// Overhead is the part of the objective that messages and the worker's start take.
+	// Overhead is the part of the objective that messages and the worker's start-up of a run take.
 	Overhead time.Duration
-	// Policy says which mechanisms are in force; production runs with all.
+	// Policy selects the mechanisms in force. Production uses all of them.
 	Policy policy.Policy
 }
 
-// RequestID names one awaited answer.
+// RequestID identifies one awaited answer.
 type RequestID uint64
 
-// LinkID names one link to an agent.
+// LinkID identifies one link to an agent.
 type LinkID uint64
 
-// Step is a number of like tasks of a job.
+// Step is a group of identical tasks of a job.
 type Step struct {
 	Count int       `cbor:"1,keyasint"`
 	Need  room.Room `cbor:"2,keyasint"`
 	// Estimate is the declared run time of one task.
 	Estimate time.Duration `cbor:"3,keyasint"`
-	// After are the steps that must be done before.
+	// After lists the indexes of the steps that must complete first.
 	After []int `cbor:"4,keyasint,omitempty"`
-	// Requires is a label that the worker must have; empty if any will do.
+	// Requires is a label that the worker must have; empty if any worker will do.
 	Requires string `cbor:"5,keyasint,omitempty"`
-	// DataRack is the rack of the step's data; empty if there is none.
+	// DataRack is the label of the rack that holds the step's data; empty if there is none.
 	DataRack string `cbor:"6,keyasint,omitempty"`
-	// AntiAffinity bounds the step's tasks on one worker; 0 if unbounded.
+	// AntiAffinity is the maximum number of the step's tasks on one worker; 0 means no limit.
 	AntiAffinity int `cbor:"7,keyasint,omitempty"`
 }
 
-// Request hands a job in.
+// Request submits an awaited job.
 type Request struct {
 	ID RequestID
 	// Job is the caller's name for the job.
 	Job   string
 	Queue *catalog.Queue
-	// Version is that of the configuration in force.
+	// Version is the version of the configuration in force.
 	Version uint64
 	Spec    string
 	Steps   []Step
-	// Arrived is when the request was read, before it waited for the core; zero if it
-	// did not wait.
+	// Arrived is when the request was read. It is earlier than the submission if the request waited
+	// in the process; zero means that it did not wait.
 	Arrived time.Time
 	// Deadline is when the caller stops waiting.
 	Deadline time.Time
 }
 
-// Answer ends a request.
+// Answer completes a request.
 type Answer struct {
 	Request RequestID
 	Kind    errkind.Kind
-	// RetryAfter tells the caller of a refusal when to come back.
+	// RetryAfter is when a caller whose job was refused may submit it again.
 	RetryAfter time.Duration
 }
 
@@ -117,108 +124,113 @@
 	Msg  *runs.ToAgent
 }
 
-// Output is what the core wants done.
+// Output lists the actions that the core asks its owner to perform.
 type Output struct {
 	Sends   []Send
 	Answers []Answer
-	// Closes are links that another one has replaced.
+	// Closes lists links to close because the agent has opened another one.
 	Closes []LinkID
 	Notes  []Note
-	// Records are to be stored, in this order.
+	// Records are to be stored in this order.
 	Records []Record
-	// Disowned are durable jobs that were given up, since this entry is no longer
-	// sure to own them.
+	// Disowned lists durable jobs that were given up because the entry's ownership of them is no
+	// longer confirmed.
 	Disowned []string
 	Unowned  []Unowned
-	// Suspects are to be told to the other entries.
+	// Suspects lists tasks suspected of crashing workers, to be sent to the other entries.
 	Suspects []runs.Suspect
 }
 
-// Note is one decision for the log.
+// Note is one decision for the log and the metrics.
 type Note struct {
 	Event   string
 	Job     string
 	Queue   string
 	Version uint64
 	Key     runs.Key
-	// Agent is the worker's agent, where the decision is about the worker itself.
+	// Agent is set where the decision is about a worker rather than a job.
 	Agent  string
 	Worker string
 	How    runs.How
 	Reason string
-	// Age is the age of the load that decided, Expected the time that was expected,
-	// Wait the part of it before the start, Slack what the job could wait.
+	// Age is the age of the load report or the time that a run or job has taken. Expected is the
+	// expected time to the end and Wait the part of it before the start. Slack is how long the job
+	// could wait.
 	Age, Expected, Wait, Slack time.Duration
-	// Lost counts the workers that were lost under the task, Blamed the crashes that are
-	// put down to it.
+	// Lost is the number of workers lost while they ran the task, Blamed the number of crashes
+	// attributed to it.
 	Lost, Blamed int
-	// Deferred is set at the end of a job that had to wait for room that stays free.
+	// Deferred is set at the end of a job that was deferred.
 	Deferred bool
 }
 
-// Core is the state of one entry.
+// Core is the decision state of one entry.
 type Core struct {
 	settings Settings
 	agents   ordered.Map[LinkID, *agent]
-	// lost are agents whose link broke and whose runs may still go on.
-	lost ordered.Map[string, *lostAgent]
-	jobs ordered.Map[string, *job]
-	// byRequest finds the job of an awaited answer.
+	// lostAgents are agents, by name, whose link broke and whose runs may still go on.
+	lostAgents ordered.Map[string, *lostAgent]
+	jobs       ordered.Map[string, *job]
+	// byRequest maps each unanswered request to its job.
 	byRequest map[RequestID]*job
-	// byTask finds the job of a task.
-	byTask  map[string]*task
-	learn   estimates
-	waits   waits
-	yields  yielding
-	crashes crashes
-	// deferred are jobs that wait for room that stays free; deferredAt is when they
-	// were last looked at.
-	deferred   ordered.Map[string, *job]
-	deferredAt time.Time
-	// started is the work that was started for each service.
-	started map[string]*startedWork
-	rand    *rand.Rand
-	// typical is the median slowness of each service's workers.
-	typical map[string]float64
-	// marked are the agents to be sent something, beatAt is when all were looked at for
-	// a beat.
-	marked []*agent
-	beatAt time.Time
-	// plans counts the plans; usable is the list of candidates of the present one.
-	plans     uint64
-	usable    []*agent
+	// byTask maps the names of tasks.
+	byTask   map[string]*task
+	runTimes runTimeEstimator
+	waits    waitEstimator
+	losses   lossTracker
+	crashes  crashHistory
+	// deferred are jobs that wait for spare capacity; deferredScannedAt is the time of their last
+	// scan.
+	deferred          ordered.Map[string, *job]
+	deferredScannedAt time.Time
+	// startedWork is the work started for each service.
+	startedWork map[string]*startedWork
+	rand        *rand.Rand
+	// medianSlowness is the median slowness of the workers of each service, in hundredths.
+	medianSlowness map[string]float64
+	// dirtyAgents are agents with pending messages; heartbeatsCheckedAt is when all agents were
+	// last checked for due heartbeats.
+	dirtyAgents         []*agent
+	heartbeatsCheckedAt time.Time
+	// planCount is the number of plans made so far; planCandidates are the candidates of the
+	// current plan.
+	planCount      uint64
+	planCandidates []*agent
+	// settledAt is the time until which new jobs are refused after a suspension.
 	settledAt time.Time
 	// startedAt is the time of the first event.
 	startedAt time.Time
-	// enoughAt is when enough agents were last seen to work with this entry.
-	enoughAt time.Time
-	// ownedUntil is until when the entry is sure to own its durable jobs.
-	ownedUntil time.Time
-	// drains are the data centres whose workers get nothing new.
+	// enoughAgentsAt is when at least minAgents agents last worked with the entry.
+	enoughAgentsAt time.Time
+	// ownershipUntil is the time until which the entry's ownership of its durable jobs is
+	// confirmed.
+	ownershipUntil time.Time
+	// drains is the view of the drained data centres, whose workers get no new runs.
 	drains drains.State
-	// unrecorded are durable jobs with something that is not stored.
+	// unrecorded are durable jobs with changes that are not recorded yet.
 	unrecorded ordered.Map[string, *job]
-	// backlogged is set while durable tasks wait for room; backlogAt is when they
-	// were last looked at.
-	backlogged bool
-	backlogAt  time.Time
-	// walks counts the walks of the backlog.
-	walks int
-	now   time.Time
-	out   Output
+	// hasBacklog is set while tasks of durable jobs wait for capacity; backlogScannedAt is the time
+	// of the last scan of the backlog.
+	hasBacklog       bool
+	backlogScannedAt time.Time
+	// backlogScans is the number of scans of the backlog.
+	backlogScans int
+	now          time.Time
+	out          Output
 }
 
 // New returns a core without agents.
 func New(s Settings) *Core {
 	return &Core{
 		settings:  s,
-		byRequest: make(map[RequestID]*job), byTask: make(map[string]*task), learn: newEstimates(), yields: newYielding(), rand: rand.New(rand.NewPCG(s.Seed, 0)), typical: make(map[string]float64),
-		started: make(map[string]*startedWork),
+		byRequest: make(map[RequestID]*job), byTask: make(map[string]*task), runTimes: newRunTimeEstimator(), losses: newLossTracker(), rand: rand.New(rand.NewPCG(s.Seed, 0)), medianSlowness: make(map[string]float64),
+		startedWork: make(map[string]*startedWork),
 	}
 }
 
-// Now tells the core the time before other events, so that it sees a suspension.
-func (c *Core) Now(now time.Time) {
+// Advance sets the current time before an event is handled. A gap above Settings.StallLimit is
+// handled as a suspension.
+func (c *Core) Advance(now time.Time) {
 	gap := now.Sub(c.now)
 	suspended := !c.now.IsZero() && gap > c.settings.StallLimit
 	c.now = now
@@ -231,11 +243,11 @@
 	c.checkOwnership()
 }
 
-// resume handles that the entry was suspended.
+// resume handles a suspension of the given length.
 func (c *Core) resume(gap time.Duration) {
 	c.settledAt = c.now.Add(c.settings.Settling)
-	c.enoughAt = c.now // its agents have closed their links and come back
-	c.note(Note{Event: "suspended", Age: gap})
+	c.enoughAgentsAt = c.now // agents have closed their links meanwhile and need time to reconnect
+	c.logDecision(Note{Event: "suspended", Age: gap})
 	if gap < c.settings.OwnerLease {
 		return
 	}
@@ -246,41 +258,41 @@
 	}
 }
 
-// Flush returns what the events since the last call ask for.
+// Flush returns the output of the events since the last call.
 func (c *Core) Flush(now time.Time) Output {
-	c.Now(now)
-	c.record()
+	c.Advance(now)
+	c.emitRecords()
 	c.flushAgents()
 	out := c.out
 	c.out = Output{}
 	return out
 }
 
-// Tick handles the passing of time.
+// Tick handles deadlines, expired leases and everything else that depends on time alone.
 func (c *Core) Tick(now time.Time) {
-	c.Now(now)
+	c.Advance(now)
 	c.expireLost()
-	c.measureTypical()
+	c.updateMedianSlowness()
 	for j := range c.jobs.Values() {
 		c.checkDeadline(j)
 	}
 	c.forgetEnded()
 	c.placeWaiting()
-	c.moveSlow()
+	c.moveRuns()
 }
 
-// Jobs returns the number of jobs that are not answered yet.
+// Jobs returns the number of requests that are not answered yet.
 func (c *Core) Jobs() int { return len(c.byRequest) }
 
-// Workers returns the number of workers that can be given work.
+// Workers returns the number of workers that can be given runs.
 func (c *Core) Workers() int {
 	n := 0
 	for a := range c.agents.Values() {
-		if a.usable(c.now, c.settings.SilentAfter) {
+		if a.isUsable(c.now, c.settings.SilentAfter) {
 			n++
 		}
 	}
 	return n
 }
 
-func (c *Core) note(n Note) { c.out.Notes = append(c.out.Notes, n) }
+func (c *Core) logDecision(n Note) { c.out.Notes = append(c.out.Notes, n) }
--- a/core/batch/crash.go
+++ b/core/batch/crash.go
@@ -8,78 +8,82 @@
 	"peridotpick.example/wire/runs"
 )
 
-// A task may crash each worker that starts it, and takes with it whatever runs there. It is
-// given up once two crashes are put down to it, more if other
-// workers were lost lately, or four workers have crashed while it ran there. A crash is put down to
-// the run that its agent names, unless many workers are lost at the same moment: then
-// it has a cause outside. A suspected task runs apart from other suspects, then alone,
-// so that one that merely ran beside the cause is not blamed again.
+// A task may crash every worker that starts it and end all other runs there. Without protection
+// such a task goes from worker to worker until its caller leaves, and a durable one forever.
 //
-// The load it answers: a few jobs of a queue crash all that they touch. Without it each of
-// them goes from worker to worker until its caller leaves, and a durable one for ever.
+// A task is given up once two crashes are attributed to it (more if other workers were lost
+// recently), or once four workers have crashed while they ran it. A crash is attributed to the run
+// that the agent reports as suspect, unless many workers are lost at the same moment: then the
+// cause lies elsewhere. A suspected task is run apart from other suspects at first and alone later,
+// so that a task that merely ran beside the cause is not blamed again.
 const (
-	// blamedLimit is the number of crashes put down to a task after which it is given up.
-	// Each other worker that was lost lately asks for one more: some are chance then.
-	blamedLimit = 2
-	// lostLimit is the number of workers that have crashed under a task after which it is
-	// given up whatever else: a crash need not show which run it came from.
-	lostLimit = 4
-	// sharedWithin is the time within which losses count as one event, and sharedWorkers the
-	// number of workers without the job that it must have met to have a cause outside.
-	sharedWithin  = 500 * time.Millisecond
-	sharedWorkers = 3
-	// lostLately is how long losses of other workers count against blaming a job.
-	lostLately = 10 * time.Second
-	// recentKept bounds the losses that are remembered for that.
-	recentKept = 256
-	// suspectsKept and suspectKeptFor bound what is remembered of tasks whose job is not
-	// here: a caller without an answer sends its job again within seconds.
-	suspectsKept   = 256
-	suspectKeptFor = time.Minute
-	// wordWithin is the time in which a worker that has crashed is back.
-	wordWithin = 15 * time.Second
-	// besideCost is what a suspect's choice of a worker is charged at most for what runs
-	// there and would be lost.
-	besideCost = 100 * time.Millisecond
+	// blamedCrashLimit is the number of crashes attributed to a task after which it is given up. It
+	// rises by one for each other worker lost recently, as some of the crashes are coincidence
+	// then.
+	blamedCrashLimit = 2
+	// lostWorkerLimit is the number of workers that have crashed while they ran a task after which
+	// it is given up in any case, since a crash does not always show which run caused it.
+	lostWorkerLimit = 4
+	// sharedCrashWindow is the time within which losses count as one event, and sharedCrashWorkers
+	// the number of workers not running the job that must be lost in it for the event to have
+	// another cause.
+	sharedCrashWindow  = 500 * time.Millisecond
+	sharedCrashWorkers = 3
+	// recentLossWindow is how long losses of other workers raise the limit for blaming a job.
+	recentLossWindow = 10 * time.Second
+	// maxRecentLosses is the maximum number of losses remembered for that.
+	maxRecentLosses = 256
+	// maxSuspects and suspectRetention bound what is remembered of tasks whose job is not here. A
+	// caller without an answer submits its job again within seconds.
+	maxSuspects      = 256
+	suspectRetention = time.Minute
+	// crashReportTimeout is the time within which a worker that has crashed is back and reports it.
+	crashReportTimeout = 15 * time.Second
+	// maxColocationCost is the highest cost that the choice of a worker has for a suspect because
+	// of other runs there, which would be lost in a crash.
+	maxColocationCost = 100 * time.Millisecond
 )
 
-// crashes is what an entry knows of lost workers.
-type crashes struct {
-	// recent are the workers that were lost a moment ago, with the jobs that ran there;
-	// the job is empty where none of this entry did.
-	recent []lostUnder
-	// suspects are tasks that were blamed, the oldest first.
+// crashHistory is what the entry knows of lost workers and suspects.
+type crashHistory struct {
+	// recentLosses are the workers lost recently with the jobs that ran on them. The job is empty
+	// for the loss of a worker itself, whatever ran on it.
+	recentLosses []workerLoss
+	// suspects are tasks during whose runs workers were lost, by name, least recently updated
+	// first.
 	suspects ordered.Map[string, *suspect]
 }
 
-type lostUnder struct {
+// workerLoss is the loss of a worker on which a job ran.
+type workerLoss struct {
 	job, worker string
 	at          time.Time
 }
 
-// suspect is a blamed task with the time of the last word about it.
+// suspect is a Suspect with the time of its last update.
 type suspect struct {
 	runs.Suspect
-	at time.Time
+	updatedAt time.Time
 }
 
-// add notes that a worker was lost under a job.
-func (c *crashes) add(now time.Time, job, worker string) {
-	c.recent = append(c.recent, lostUnder{job, worker, now})
-	for len(c.recent) > recentKept || now.Sub(c.recent[0].at) > lostLately {
-		c.recent = c.recent[1:]
+// addLoss adds the loss of a worker that ran a job.
+func (c *crashHistory) addLoss(now time.Time, job, worker string) {
+	c.recentLosses = append(c.recentLosses, workerLoss{job, worker, now})
+	for len(c.recentLosses) > maxRecentLosses || now.Sub(c.recentLosses[0].at) > recentLossWindow {
+		c.recentLosses = c.recentLosses[1:]
 	}
 }
 
-// others counts the workers that were lost within a time while nothing of a job ran there.
-func (c *crashes) others(now time.Time, job string, within time.Duration) int {
+// countOtherLosses returns the number of workers that were lost within the given time and ran
+// nothing of the job.
+func (c *crashHistory) countOtherLosses(now time.Time, job string, within time.Duration) int {
 	others := make(map[string]bool)
-	for _, l := range c.recent {
+	for _, l := range c.recentLosses {
 		if now.Sub(l.at) <= within {
 			others[l.worker] = true
 		}
 	}
-	for _, l := range c.recent {
+	for _, l := range c.recentLosses {
 		if l.job == job {
 			delete(others, l.worker)
 		}
@@ -87,115 +91,120 @@
 	return len(others)
 }
 
-// noteVanished notes that a worker was lost, whatever ran there, unless it had said that it
-// leaves.
-func (c *Core) noteVanished(was, is *runs.Worker) {
-	if was.ID != "" && !was.Draining && was.Life() != is.Life() {
-		c.crashes.add(c.now, "", was.ID)
+// addVanishedWorker adds a loss if an agent's worker has ended without draining before, whatever
+// ran on it.
+func (c *Core) addVanishedWorker(previous, current *runs.Worker) {
+	if previous.ID != "" && !previous.Draining && previous.Life() != current.Life() {
+		c.crashes.addLoss(c.now, "", previous.ID)
 	}
 }
 
-// workerLost counts a worker that has crashed under a task.
-func (c *Core) workerLost(t *task, worker string, end runs.End) {
-	t.lost++
-	if t.crashed == nil {
-		t.crashed = make(map[uint32]bool)
+// handleWorkerCrash counts the crash of a worker that ran a task.
+func (c *Core) handleWorkerCrash(t *task, worker string, end runs.End) {
+	t.lostWorkers++
+	if t.crashedRuns == nil {
+		t.crashedRuns = make(map[uint32]bool)
 	}
-	t.crashed[end.Key.Run] = true
-	c.crashes.add(c.now, t.job.name, t.worker)
-	if end.Suspect && c.crashes.others(c.now, t.job.name, sharedWithin) < sharedWorkers {
-		t.blamed++
+	t.crashedRuns[end.Key.Run] = true
+	c.crashes.addLoss(c.now, t.job.name, t.worker)
+	if end.Suspect && c.crashes.countOtherLosses(c.now, t.job.name, sharedCrashWindow) < sharedCrashWorkers {
+		t.blamedCrashes++
 	}
-	c.noteLost(t, worker, end)
+	c.reportLostWorker(t, worker, end)
 	if t.job.durable != nil && !t.job.ended {
-		c.changed(t.job, recordEvery)
+		c.scheduleRecord(t.job, recordInterval)
 	}
-	c.giveUpCrashing(t)
+	c.giveUpIfOverCrashLimit(t)
 }
 
-// workerSilent notes that a worker was lost under a task and may have crashed. No job fails
-// for a cut: the task is suspected, and that is all until the worker is back.
-func (c *Core) workerSilent(t *task, worker string, end runs.End) {
-	if t.lapsed == nil {
-		t.lapsed = make(map[uint32]time.Time)
+// handleSilentWorker handles the end of a run whose worker stopped answering and may have crashed.
+// The worker may also be cut off from the network, so its loss makes the task a suspect, but does
+// not fail the job unless a crash is reported later.
+func (c *Core) handleSilentWorker(t *task, worker string, end runs.End) {
+	if t.silentRuns == nil {
+		t.silentRuns = make(map[uint32]time.Time)
 	}
-	t.lapsed[end.Key.Run] = c.now
-	c.crashes.add(c.now, t.job.name, t.worker)
-	c.noteLost(t, worker, end)
+	t.silentRuns[end.Key.Run] = c.now
+	c.crashes.addLoss(c.now, t.job.name, t.worker)
+	c.reportLostWorker(t, worker, end)
 }
 
-// lostBefore reports whether a run that is over was lost with a worker which has crashed, as
-// is known now: the worker went silent first, or another entry owned the job.
-func (t *task) lostBefore(run uint32) bool {
-	if t.crashed[run] || t.state == taskPlaced && t.run == run {
+// takeLateCrash reports whether a crash concerns an earlier run of a task and was not counted yet:
+// the worker stopped answering first, or another entry owned the job. It removes the run from the
+// silent ones.
+func (t *task) takeLateCrash(run uint32) bool {
+	if t.crashedRuns[run] || t.state == taskPlaced && t.run == run {
 		return false
 	}
-	delete(t.lapsed, run)
+	delete(t.silentRuns, run)
 	return true
 }
 
-// restoreLapsed takes the number of runs of a former owner that were lost with silent
-// workers. Their numbers are not known, but are below those of later runs.
-func (t *task) restoreLapsed(now time.Time, count int) {
+// restoreSilentRuns restores the number of runs of a previous owner whose workers stopped
+// answering. The run numbers are not known but are lower than those of later runs.
+func (t *task) restoreSilentRuns(now time.Time, count int) {
 	for n := range count {
-		if t.lapsed == nil {
-			t.lapsed = make(map[uint32]time.Time)
+		if t.silentRuns == nil {
+			t.silentRuns = make(map[uint32]time.Time)
 		}
-		t.lapsed[uint32(n)] = now
+		t.silentRuns[uint32(n)] = now
 	}
 }
 
-func (c *Core) noteLost(t *task, worker string, end runs.End) {
-	c.note(Note{
+// reportLostWorker logs that a worker was lost while it ran a task, and adds the task of an awaited
+// job to the suspects unless the crash has a shared cause.
+func (c *Core) reportLostWorker(t *task, worker string, end runs.End) {
+	c.logDecision(Note{
 		Event: "worker lost", Job: t.job.name, Queue: t.job.queue.Name, Version: t.job.version, Key: end.Key, Worker: worker,
-		Reason: end.Reason.String(), Lost: t.lost, Blamed: t.blamed,
+		Reason: end.Reason.String(), Lost: t.lostWorkers, Blamed: t.blamedCrashes,
 	})
-	if t.job.durable == nil && t.lost > 0 && c.crashes.others(c.now, t.job.name, sharedWithin) < sharedWorkers {
-		c.suspects(runs.Suspect{Task: t.name, Lost: t.lost, Blamed: t.blamed})
+	if t.job.durable == nil && t.lostWorkers > 0 && c.crashes.countOtherLosses(c.now, t.job.name, sharedCrashWindow) < sharedCrashWorkers {
+		c.addSuspect(runs.Suspect{Task: t.name, Lost: t.lostWorkers, Blamed: t.blamedCrashes})
 	}
 }
 
-// giveUpCrashing gives the job of a task up that crashes workers.
-func (c *Core) giveUpCrashing(t *task) {
-	if c.crashing(t) {
+// giveUpIfOverCrashLimit gives up the job of a task that has reached a crash limit.
+func (c *Core) giveUpIfOverCrashLimit(t *task) {
+	if c.isOverCrashLimit(t) {
 		c.giveUp(t.job, errkind.TaskFailed, "its task crashes workers")
 	}
 }
 
-// crashing reports whether a task is taken to crash each worker that starts it.
-func (c *Core) crashing(t *task) bool {
-	others := c.crashes.others(c.now, t.job.name, lostLately)
-	return t.blamed >= min(blamedLimit+others, lostLimit) || t.lost >= lostLimit
+// isOverCrashLimit reports whether a task is taken to crash every worker that starts it.
+func (c *Core) isOverCrashLimit(t *task) bool {
+	others := c.crashes.countOtherLosses(c.now, t.job.name, recentLossWindow)
+	return t.blamedCrashes >= min(blamedCrashLimit+others, lostWorkerLimit) || t.lostWorkers >= lostWorkerLimit
 }
 
-// awaitsWord reports whether a task has to wait until it is known of a silent worker
-// whether that has crashed: it may have had as many starts as are allowed.
-func (c *Core) awaitsWord(t *task) bool {
-	if t.lost+len(t.lapsed) < lostLimit {
+// awaitsCrashReport reports whether a task must wait until it is known whether silent workers have
+// crashed. With these it may have reached lostWorkerLimit. Silent runs older than
+// crashReportTimeout are dropped.
+func (c *Core) awaitsCrashReport(t *task) bool {
+	if t.lostWorkers+len(t.silentRuns) < lostWorkerLimit {
 		return false
 	}
-	for run, at := range t.lapsed {
-		if c.now.Sub(at) > wordWithin {
-			delete(t.lapsed, run)
+	for run, at := range t.silentRuns {
+		if c.now.Sub(at) > crashReportTimeout {
+			delete(t.silentRuns, run)
 		}
 	}
-	return t.lost+len(t.lapsed) >= lostLimit
+	return t.lostWorkers+len(t.silentRuns) >= lostWorkerLimit
 }
 
-// suspicion tells beside what a task may start.
-func (t *task) suspicion() runs.Suspicion {
+// isolation returns which other tasks a task may run beside.
+func (t *task) isolation() runs.Suspicion {
 	switch {
-	case t.lost+len(t.lapsed) >= 2:
+	case t.lostWorkers+len(t.silentRuns) >= 2:
 		return runs.Alone
-	case t.blamed > 0:
+	case t.blamedCrashes > 0:
 		return runs.Apart
 	}
 	return runs.Trusted
 }
 
-// suspects remembers a blamed task and has the other entries told. It reports whether that
-// is news.
-func (c *Core) suspects(s runs.Suspect) bool {
+// addSuspect stores a suspect and adds it to the output for the other entries. It reports whether
+// it contains anything new.
+func (c *Core) addSuspect(s runs.Suspect) bool {
 	old := c.crashes.suspects.Get(s.Task)
 	if old != nil && old.Lost >= s.Lost && old.Blamed >= s.Blamed {
 		return false
@@ -210,75 +219,77 @@
 	return true
 }
 
-// Suspected reports whether workers are known to have been lost under a task.
+// Suspected reports whether workers are known to have been lost while they ran a task.
 func (c *Core) Suspected(name string) bool { return c.crashes.suspects.Has(name) }
 
-// forgetSuspects drops the oldest beyond the bounds.
+// forgetSuspects removes the oldest suspects beyond the bounds on number and age.
 func (c *Core) forgetSuspects() {
 	for name, s := range c.crashes.suspects.All() {
-		if c.crashes.suspects.Len() <= suspectsKept && c.now.Sub(s.at) <= suspectKeptFor {
+		if c.crashes.suspects.Len() <= maxSuspects && c.now.Sub(s.updatedAt) <= suspectRetention {
 			return
 		}
 		c.crashes.suspects.Delete(name)
 	}
 }
 
-// LearnSuspects takes what other entries say of tasks that crash workers.
+// LearnSuspects handles suspects received from other entries.
 func (c *Core) LearnSuspects(now time.Time, list []runs.Suspect) {
-	c.Now(now)
+	c.Advance(now)
 	for _, s := range list {
-		if !c.suspects(s) {
+		if !c.addSuspect(s) {
 			continue
 		}
 		if t := c.byTask[s.Task]; t != nil && t.job.durable == nil {
-			t.takeSuspect(s)
-			c.giveUpCrashing(t)
+			t.mergeSuspect(s)
+			c.giveUpIfOverCrashLimit(t)
 		}
 	}
 }
 
-func (t *task) takeSuspect(s runs.Suspect) {
-	t.lost, t.blamed = max(t.lost, s.Lost), max(t.blamed, s.Blamed)
+// mergeSuspect raises the counts of a task to those of a suspect.
+func (t *task) mergeSuspect(s runs.Suspect) {
+	t.lostWorkers, t.blamedCrashes = max(t.lostWorkers, s.Lost), max(t.blamedCrashes, s.Blamed)
 }
 
-// recallSuspects gives the tasks of a job that was handed in what is known of them. It
-// reports whether one of them is given up already.
-func (c *Core) recallSuspects(j *job) bool {
-	condemned := false
+// applySuspects copies the known suspects to the tasks of a new job. It reports whether one of the
+// tasks is over a crash limit already.
+func (c *Core) applySuspects(j *job) bool {
+	overLimit := false
 	if c.crashes.suspects.Len() == 0 {
 		return false
 	}
 	for i := range j.steps {
 		for _, t := range j.steps[i].tasks {
 			if s := c.crashes.suspects.Get(t.name); s != nil {
-				t.takeSuspect(s.Suspect)
-				condemned = condemned || c.crashing(t)
+				t.mergeSuspect(s.Suspect)
+				overLimit = overLimit || c.isOverCrashLimit(t)
 			}
 		}
 	}
-	return condemned
+	return overLimit
 }
 
-// beside is what the choice of a worker costs a suspect for what it might take with it.
-func (c *Core) beside(a *agent, t *task) time.Duration {
-	if t.suspicion() == runs.Trusted || a.worker.Capacity.CPU <= 0 {
+// colocationCost returns the cost that the choice of a worker has for a suspect because of other
+// runs there.
+func (c *Core) colocationCost(a *agent, t *task) time.Duration {
+	if t.isolation() == runs.Trusted || a.worker.Capacity.CPU <= 0 {
 		return 0
 	}
 	used := a.worker.Capacity.CPU - max(a.load.Free.CPU, 0)
-	return besideCost * time.Duration(used) / time.Duration(a.worker.Capacity.CPU)
+	return maxColocationCost * time.Duration(used) / time.Duration(a.worker.Capacity.CPU)
 }
 
-// lastRoom reports whether a task that has to run alone would take the last worker with
-// room: a crash there would leave none.
-func (c *Core) lastRoom(t *task) bool {
-	if t.suspicion() != runs.Alone {
+// takesLastWorker reports whether a task that must run alone would use the last worker with free
+// resources for it. A crash there would leave none.
+func (c *Core) takesLastWorker(t *task) bool {
+	if t.isolation() != runs.Alone {
 		return false
 	}
-	free := 0
-	for _, a := range c.usable {
+	freeWorkers := 0
+	for _, a := range c.planCandidates {
 		if a.load.Free.Fits(t.step.Need) {
-			free++
+			freeWorkers++
 		}
 	}
-	return free < 2
+	return freeWorkers < 2
 }
--- a/core/batch/crash_test.go
+++ b/core/batch/crash_test.go
@@ -8,184 +8,186 @@
 	"peridotpick.example/wire/runs"
 )
 
-// lose reports that a run was lost with its worker.
-func (r *rig) loseWorker(ms, agent, id, index int, run uint32, reason runs.Reason, suspect bool) Output {
+// reportLoss reports that a run ended because its worker was lost.
+func (h *harness) reportLoss(ms, agent, id, index int, run uint32, reason runs.Reason, suspect bool) Output {
 	k := runs.Key{Task: fmt.Sprintf("%s.0.0.%d", jobName(id), index), Run: run}
-	r.Receive(after(ms), LinkID(agent), &runs.ToEntry{Clock: after(ms).UnixNano(), Ends: []runs.End{
+	h.Receive(after(ms), LinkID(agent), &runs.ToEntry{Clock: after(ms).UnixNano(), Ends: []runs.End{
 		{Key: k, How: runs.Stopped, Reason: reason, Suspect: suspect},
 	}})
-	return r.flush(after(ms))
+	return h.flush(after(ms))
 }
 
-// startOf returns the one start of an output, and where it was sent.
-func (r *rig) startOf(out Output) (int, runs.Start) {
-	for link, list := range started(out) {
+// onlyStart returns the start in an output and the agent that it was sent to.
+func (h *harness) onlyStart(out Output) (int, runs.Start) {
+	for link, list := range startsByLink(out) {
 		if len(list) > 0 {
 			return int(link), list[0]
 		}
 	}
-	r.is.Fail()
+	h.is.Fail()
 	return 0, runs.Start{}
 }
 
-func TestTaskIsGivenUpAfterTwoCrashesPutDownToIt(t *testing.T) {
-	r := newRig(t, 4)
-	at, s := r.startOf(r.submit(begin, 1, 1, after(0).Sub(begin)+100e6))
-	r.is.Equal(s.Suspicion, runs.Trusted)
-	at, s = r.startOf(r.loseWorker(20, at, 1, 0, s.Key.Run, runs.Crashed, true))
-	r.is.Equal(s.Suspicion, runs.Apart)
-	r.loseWorker(40, at, 1, 0, s.Key.Run, runs.Crashed, true)
-	r.is.Equal(len(r.got), 1)
-	r.is.Equal(r.got[0].Kind, errkind.TaskFailed)
+func TestTaskIsGivenUpAfterTwoBlamedCrashes(t *testing.T) {
+	h := newHarness(t, 4)
+	at, s := h.onlyStart(h.submit(begin, 1, 1, after(0).Sub(begin)+100e6))
+	h.is.Equal(s.Suspicion, runs.Trusted)
+	at, s = h.onlyStart(h.reportLoss(20, at, 1, 0, s.Key.Run, runs.Crashed, true))
+	h.is.Equal(s.Suspicion, runs.Apart)
+	h.reportLoss(40, at, 1, 0, s.Key.Run, runs.Crashed, true)
+	h.is.Equal(len(h.answers), 1)
+	h.is.Equal(h.answers[0].Kind, errkind.TaskFailed)
 }
 
-func TestTaskThatRanBesideIsNotBlamed(t *testing.T) {
-	r := newRig(t, 4)
-	at, s := r.startOf(r.submit(begin, 1, 1, 100e6))
+func TestTaskBesideTheCauseOfACrashIsNotBlamed(t *testing.T) {
+	h := newHarness(t, 4)
+	at, s := h.onlyStart(h.submit(begin, 1, 1, 100e6))
 	for n := range 3 {
-		at, s = r.startOf(r.loseWorker(20+10*n, at, 1, 0, s.Key.Run, runs.Crashed, false))
+		at, s = h.onlyStart(h.reportLoss(20+10*n, at, 1, 0, s.Key.Run, runs.Crashed, false))
 	}
-	r.is.Equal(len(r.got), 0)
-	r.is.Equal(s.Suspicion, runs.Alone) // so that the next loss tells
+	h.is.Equal(len(h.answers), 0)
+	h.is.Equal(s.Suspicion, runs.Alone) // so that the next loss shows the cause
 }
 
-// TestCrashThatManyJobsShareIsNobodysFault.
-func TestCrashThatManyJobsShareIsNobodysFault(t *testing.T) {
-	r := newRig(t, 8)
+// TestJobsDoNotFailForASharedCrash covers jobs that lose their workers at the same time, which has
+// a cause other than the jobs.
+func TestJobsDoNotFailForASharedCrash(t *testing.T) {
+	h := newHarness(t, 8)
 	type sent struct {
 		at  int
 		run uint32
 	}
 	jobs := make([]sent, 6)
 	for i := range jobs {
-		at, s := r.startOf(r.submit(begin, i+1, 1, 100e6))
+		at, s := h.onlyStart(h.submit(begin, i+1, 1, 100e6))
 		jobs[i] = sent{at, s.Key.Run}
 	}
 	for round := range 2 {
 		for i := range jobs {
-			at, s := r.startOf(r.loseWorker(100+200*round+i, jobs[i].at, i+1, 0, jobs[i].run, runs.Crashed, true))
+			at, s := h.onlyStart(h.reportLoss(100+200*round+i, jobs[i].at, i+1, 0, jobs[i].run, runs.Crashed, true))
 			jobs[i] = sent{at, s.Key.Run}
 		}
 	}
-	for _, a := range r.got {
-		r.is.True(a.Kind != errkind.TaskFailed)
+	for _, a := range h.answers {
+		h.is.True(a.Kind != errkind.TaskFailed)
 	}
 	blamed := 0
-	for j := range r.jobs.Values() {
-		blamed += j.steps[0].tasks[0].blamed
+	for j := range h.jobs.Values() {
+		blamed += j.steps[0].tasks[0].blamedCrashes
 	}
-	r.is.True(blamed <= sharedWorkers) // the first of them only
+	h.is.True(blamed <= sharedCrashWorkers) // only the first ones, before enough losses count as shared
 }
 
-func TestBlamedTaskIsKnownToTheNextEntry(t *testing.T) {
-	r, other := newRig(t, 4), newRig(t, 4)
-	at, s := r.startOf(r.submit(begin, 1, 1, 100e6))
-	out := r.loseWorker(20, at, 1, 0, s.Key.Run, runs.Crashed, true)
-	r.is.Equal(out.Suspects, []runs.Suspect{{Task: s.Key.Task, Lost: 1, Blamed: 1}})
+func TestBlamedTaskIsKnownToOtherEntries(t *testing.T) {
+	h, other := newHarness(t, 4), newHarness(t, 4)
+	at, s := h.onlyStart(h.submit(begin, 1, 1, 100e6))
+	out := h.reportLoss(20, at, 1, 0, s.Key.Run, runs.Crashed, true)
+	h.is.Equal(out.Suspects, []runs.Suspect{{Task: s.Key.Task, Lost: 1, Blamed: 1}})
 	other.LearnSuspects(begin, out.Suspects)
-	other.is.Equal(other.flush(begin).Suspects, out.Suspects) // passed on
+	other.is.Equal(other.flush(begin).Suspects, out.Suspects) // forwarded
 	other.LearnSuspects(begin, out.Suspects)
-	other.is.Equal(len(other.flush(begin).Suspects), 0) // once
-	at, s = other.startOf(other.submit(begin, 1, 1, 100e6))
+	other.is.Equal(len(other.flush(begin).Suspects), 0) // only once
+	at, s = other.onlyStart(other.submit(begin, 1, 1, 100e6))
 	other.is.Equal(s.Suspicion, runs.Apart)
-	other.loseWorker(20, at, 1, 0, s.Key.Run, runs.Crashed, true)
-	other.is.Equal(other.got[0].Kind, errkind.TaskFailed)
-	other.submit(after(50), 1, 1, 100e6) // its caller sends it again all the same
-	other.is.Equal(other.got[1].Kind, errkind.TaskFailed)
+	other.reportLoss(20, at, 1, 0, s.Key.Run, runs.Crashed, true)
+	other.is.Equal(other.answers[0].Kind, errkind.TaskFailed)
+	other.submit(after(50), 1, 1, 100e6) // the caller submits it again nevertheless
+	other.is.Equal(other.answers[1].Kind, errkind.TaskFailed)
 }
 
 func TestSuspectsAreBounded(t *testing.T) {
-	r := newRig(t, 1)
+	h := newHarness(t, 1)
 	var list []runs.Suspect
-	for n := range 3 * suspectsKept {
+	for n := range 3 * maxSuspects {
 		list = append(list, runs.Suspect{Task: fmt.Sprint(n), Lost: 1, Blamed: 1})
 	}
-	r.LearnSuspects(begin, list)
-	r.is.Equal(r.crashes.suspects.Len(), suspectsKept)
+	h.LearnSuspects(begin, list)
+	h.is.Equal(h.crashes.suspects.Len(), maxSuspects)
 }
 
-// TestCrashesOfADurableTaskAreKeptInItsRecord: another entry that takes the job over goes
-// on counting.
-func TestCrashesOfADurableTaskAreKeptInItsRecord(t *testing.T) {
-	r := newRig(t, 4)
-	at, s := r.startOf(r.own(begin, 1, 1, nil))
-	out := r.loseWorker(20, at, 1, 0, s.Key.Run, runs.Crashed, true)
-	r.is.Equal(out.Records[0].Progress, []TaskProgress{{Abandoned: 1, Lost: 1, Blamed: 1}})
+// TestCrashesOfADurableTaskAreRecorded verifies that an entry which takes the job over continues
+// the counts.
+func TestCrashesOfADurableTaskAreRecorded(t *testing.T) {
+	h := newHarness(t, 4)
+	at, s := h.onlyStart(h.own(begin, 1, 1, nil))
+	out := h.reportLoss(20, at, 1, 0, s.Key.Run, runs.Crashed, true)
+	h.is.Equal(out.Records[0].Progress, []TaskProgress{{Abandoned: 1, Lost: 1, Blamed: 1}})
 
-	next := newRig(t, 4)
-	at, s = next.startOf(next.own(begin, 1, 1, func(d *Durable) { d.Progress = out.Records[0].Progress }))
+	next := newHarness(t, 4)
+	at, s = next.onlyStart(next.own(begin, 1, 1, func(d *Durable) { d.Progress = out.Records[0].Progress }))
 	next.is.Equal(s.Suspicion, runs.Apart)
-	next.loseWorker(20, at, 1, 0, s.Key.Run, runs.Crashed, true)
+	next.reportLoss(20, at, 1, 0, s.Key.Run, runs.Crashed, true)
 	state, _ := next.jobs.Get(jobName(1)).durable.state, true
 	next.is.Equal(state, JobFailed)
 }
 
-// TestDurableTaskDoesNotFailForSilentWorkers: they may have been cut off. It waits for word
-// of them once it may have had as many starts as are allowed.
+// TestDurableTaskDoesNotFailForSilentWorkers verifies that silent workers, which may have been cut
+// off, do not fail a job. Once its task may have had the allowed number of starts, it waits for a
+// crash report.
 func TestDurableTaskDoesNotFailForSilentWorkers(t *testing.T) {
-	r := newRig(t, 4)
-	at, s := r.startOf(r.own(begin, 1, 1, nil))
+	h := newHarness(t, 4)
+	at, s := h.onlyStart(h.own(begin, 1, 1, nil))
 	sent := []runs.Key{s.Key}
 	for n := range 3 {
-		r.loseWorker(20+50*n, at, 1, 0, s.Key.Run, runs.Lapsed, true)
-		r.Recorded(after(30+50*n), jobName(1), r.jobs.Get(jobName(1)).durable.seq)
-		r.Tick(after(40 + 50*n))
-		at, s = r.startOf(r.flush(after(40 + 50*n)))
+		h.reportLoss(20+50*n, at, 1, 0, s.Key.Run, runs.Lapsed, true)
+		h.Recorded(after(30+50*n), jobName(1), h.jobs.Get(jobName(1)).durable.seq)
+		h.Tick(after(40 + 50*n))
+		at, s = h.onlyStart(h.flush(after(40 + 50*n)))
 		sent = append(sent, s.Key)
 	}
-	r.is.Equal(s.Suspicion, runs.Alone)
-	r.loseWorker(300, at, 1, 0, s.Key.Run, runs.Lapsed, true)
-	r.Recorded(after(310), jobName(1), r.jobs.Get(jobName(1)).durable.seq)
-	r.Tick(after(320))
-	for _, list := range started(r.flush(after(320))) {
-		r.is.Equal(len(list), 0)
+	h.is.Equal(s.Suspicion, runs.Alone)
+	h.reportLoss(300, at, 1, 0, s.Key.Run, runs.Lapsed, true)
+	h.Recorded(after(310), jobName(1), h.jobs.Get(jobName(1)).durable.seq)
+	h.Tick(after(320))
+	for _, list := range startsByLink(h.flush(after(320))) {
+		h.is.Equal(len(list), 0)
 	}
-	r.is.Equal(r.jobs.Get(jobName(1)).ended, false)
-	for _, k := range sent[:2] { // two have crashed, as is known now
-		r.Receive(after(400), 0, &runs.ToEntry{Ends: []runs.End{{Key: k, How: runs.Gone, Reason: runs.Crashed, Suspect: true}}})
+	h.is.Equal(h.jobs.Get(jobName(1)).ended, false)
+	for _, k := range sent[:2] { // two have crashed after all
+		h.Receive(after(400), 0, &runs.ToEntry{Ends: []runs.End{{Key: k, How: runs.Gone, Reason: runs.Crashed, Suspect: true}}})
 	}
-	r.is.Equal(r.jobs.Get(jobName(1)).durable.state, JobFailed)
+	h.is.Equal(h.jobs.Get(jobName(1)).durable.state, JobFailed)
 }
 
-func TestSuspectLeavesTheLastRoomFree(t *testing.T) {
-	r := newRig(t, 3)
-	at, s := r.startOf(r.submit(begin, 1, 1, 100e6))
+func TestSuspectDoesNotTakeTheLastFreeWorker(t *testing.T) {
+	h := newHarness(t, 3)
+	at, s := h.onlyStart(h.submit(begin, 1, 1, 100e6))
 	full := func(m *runs.ToEntry) { m.Load.Free.CPU = 0 }
-	r.hear(after(5), (at+1)%3, full)
-	r.hear(after(5), (at+2)%3, full)
-	r.loseWorker(20, at, 1, 0, s.Key.Run, runs.Crashed, false)
-	out := r.loseWorker(40, at, 1, 0, s.Key.Run+1, runs.Crashed, false)
-	for _, list := range started(out) {
-		r.is.Equal(len(list), 0)
+	h.receiveReport(after(5), (at+1)%3, full)
+	h.receiveReport(after(5), (at+2)%3, full)
+	h.reportLoss(20, at, 1, 0, s.Key.Run, runs.Crashed, false)
+	out := h.reportLoss(40, at, 1, 0, s.Key.Run+1, runs.Crashed, false)
+	for _, list := range startsByLink(out) {
+		h.is.Equal(len(list), 0)
 	}
-	r.hear(after(60), (at+1)%3, nil)
-	_, s = r.startOf(r.flush(after(60)))
-	r.is.Equal(s.Suspicion, runs.Alone)
+	h.receiveReport(after(60), (at+1)%3, nil)
+	_, s = h.onlyStart(h.flush(after(60)))
+	h.is.Equal(s.Suspicion, runs.Alone)
 }
 
-// TestCrashAmidstLossesOfOtherWorkersNeedsMore: some crashes under a task are chance then,
-// also where nothing of this entry ran on the others.
-func TestCrashAmidstLossesOfOtherWorkersNeedsMore(t *testing.T) {
-	r := newRig(t, 8)
-	at, s := r.startOf(r.submit(begin, 1, 1, 100e6))
+// TestCrashLimitRisesWithLossesOfOtherWorkers covers crashes that may be coincidence because other
+// workers are lost too, even if these ran nothing of this entry.
+func TestCrashLimitRisesWithLossesOfOtherWorkers(t *testing.T) {
+	h := newHarness(t, 8)
+	at, s := h.onlyStart(h.submit(begin, 1, 1, 100e6))
 	for n := range 2 {
 		other := (at + 1 + n) % 8
-		r.hear(after(5), other, func(m *runs.ToEntry) { m.Worker.ID = "" })
+		h.receiveReport(after(5), other, func(m *runs.ToEntry) { m.Worker.ID = "" })
 	}
-	for n := range lostLimit {
-		r.is.Equal(len(r.got), 0)
-		out := r.loseWorker(20+30*n, at, 1, 0, s.Key.Run, runs.Crashed, true)
-		if n < lostLimit-1 {
-			at, s = r.startOf(out)
+	for n := range lostWorkerLimit {
+		h.is.Equal(len(h.answers), 0)
+		out := h.reportLoss(20+30*n, at, 1, 0, s.Key.Run, runs.Crashed, true)
+		if n < lostWorkerLimit-1 {
+			at, s = h.onlyStart(out)
 		}
 	}
-	r.is.Equal(r.got[0].Kind, errkind.TaskFailed)
+	h.is.Equal(h.answers[0].Kind, errkind.TaskFailed)
 }
 
-// TestWorkerThatLeavesIsNoLoss: it has said so before.
-func TestWorkerThatLeavesIsNoLoss(t *testing.T) {
-	r := newRig(t, 4)
-	r.hear(after(5), 0, func(m *runs.ToEntry) { m.Worker.Draining = true })
-	r.hear(after(9), 0, func(m *runs.ToEntry) { m.Worker.ID = "" })
-	r.is.Equal(r.crashes.others(after(10), "j", lostLately), 0)
+// TestDrainingWorkerIsNotCountedAsLost covers the end of a worker that has announced to drain.
+func TestDrainingWorkerIsNotCountedAsLost(t *testing.T) {
+	h := newHarness(t, 4)
+	h.receiveReport(after(5), 0, func(m *runs.ToEntry) { m.Worker.Draining = true })
+	h.receiveReport(after(9), 0, func(m *runs.ToEntry) { m.Worker.ID = "" })
+	h.is.Equal(h.crashes.countOtherLosses(after(10), "j", recentLossWindow), 0)
 }
--- a/core/batch/drains.go
+++ b/core/batch/drains.go
@@ -6,53 +6,52 @@
 	"peridotpick.example/wire/runs"
 )
 
-// A drained data centre gives this entry no room: no task is placed there, and admission
-// counts the room of the others alone from the first moment. The load it answers: a
-// quarter of all workers is taken away at once and the rest runs near its limit, where
-// jobs that count on the drained room would all be late. What runs there ends by itself;
-// what waits there is refused by the agents and placed elsewhere.
+// The workers of a drained data centre get no new tasks, and admission counts only the capacity of
+// the others from the first moment. A drain may take a quarter of all workers away at once, so that
+// the others run close to their limit. Jobs admitted for the drained capacity would all be late.
+// Runs in a drained data centre are not stopped. Agents there refuse waiting runs, which are placed
+// elsewhere then.
 
-// drainsToldEvery is the longest time between two confirmations of the view to an agent.
-// It is far below the time from which an agent asks the store itself.
-const drainsToldEvery = 500 * time.Millisecond
+// drainsSendInterval is the longest time between two messages that confirm the view to an agent. It
+// is far below the age of the view at which an agent asks the store itself.
+const drainsSendInterval = 500 * time.Millisecond
 
-// LearnDrains takes a view of the drained data centres.
+// LearnDrains handles a view of the drained data centres.
 func (c *Core) LearnDrains(now time.Time, v runs.Drains) {
-	c.Now(now)
+	c.Advance(now)
 	if !c.drains.Learn(now, v) {
 		return
 	}
 	for a := range c.agents.Values() {
-		a.drainsToldAt = time.Time{}
-		c.mark(a)
+		a.drainsSentAt = time.Time{}
+		c.markDirty(a)
 	}
 	c.placeWaiting()
 }
 
-// tellDrains adds the view to a message if the agent is due to hear it.
-func (c *Core) tellDrains(a *agent, msg *runs.ToAgent) {
-	if c.now.Sub(a.drainsToldAt) < drainsToldEvery {
+// addDrains adds the view to a message if the agent is due to receive it.
+func (c *Core) addDrains(a *agent, msg *runs.ToAgent) {
+	if c.now.Sub(a.drainsSentAt) < drainsSendInterval {
 		return
 	}
-	a.drainsToldAt = c.now
+	a.drainsSentAt = c.now
 	if view := c.drains.View(c.now); view.Version > 0 {
 		msg.Drains = &view
 	}
 }
 
-// noWorkerReason tells why no worker of a service is a candidate.
+// noWorkerReason returns the reason why a service has no candidates.
 func (c *Core) noWorkerReason(service string) string {
-	if c.knowsWorker(service) {
+	if c.hasUsableWorker(service) {
 		return "data centres drained"
 	}
 	return "no worker"
 }
 
-// knowsWorker reports whether some agent has a usable worker of a service, in whatever
-// data centre.
-func (c *Core) knowsWorker(service string) bool {
+// hasUsableWorker reports whether some agent has a usable worker of a service, in any data centre.
+func (c *Core) hasUsableWorker(service string) bool {
 	for a := range c.agents.Values() {
-		if a.worker.Service == service && a.usable(c.now, c.settings.SilentAfter) {
+		if a.worker.Service == service && a.isUsable(c.now, c.settings.SilentAfter) {
 			return true
 		}
 	}
--- a/core/batch/drains_test.go
+++ b/core/batch/drains_test.go
@@ -8,86 +8,90 @@
 	"peridotpick.example/wire/runs"
 )
 
-// inCentres puts the agents of a rig into data centres.
-func (r *rig) inCentres(dataCentres ...string) {
+// setDataCentres places the agents in data centres, in order.
+func (h *harness) setDataCentres(dataCentres ...string) {
 	for i, dc := range dataCentres {
-		r.hear(begin, i, func(msg *runs.ToEntry) { msg.Worker.DataCentre = dc })
+		h.receiveReport(begin, i, func(msg *runs.ToEntry) { msg.Worker.DataCentre = dc })
 	}
-	r.flush(begin)
+	h.flush(begin)
 }
 
-func drained(version uint64, dataCentres ...string) runs.Drains {
+// drainView returns a view of the given drained data centres.
+func drainView(version uint64, dataCentres ...string) runs.Drains {
 	return runs.Drains{Version: version, DataCentres: dataCentres}
 }
 
 func TestDrainedDataCentreGetsNoTask(t *testing.T) {
-	r := newRig(t, 3)
-	r.inCentres("d", "d", "e")
-	r.LearnDrains(begin, drained(5, "d"))
-	got := started(r.submit(begin, 1, 4, 100*time.Millisecond))
-	r.is.Equal(len(got[2]), 4)
-	r.LearnDrains(after(10), drained(6))
-	got = started(r.submit(after(10), 2, 4, 100*time.Millisecond))
-	r.is.Equal(len(got[2]), 0)
+	h := newHarness(t, 3)
+	h.setDataCentres("d", "d", "e")
+	h.LearnDrains(begin, drainView(5, "d"))
+	got := startsByLink(h.submit(begin, 1, 4, 100*time.Millisecond))
+	h.is.Equal(len(got[2]), 4)
+	h.LearnDrains(after(10), drainView(6))
+	got = startsByLink(h.submit(after(10), 2, 4, 100*time.Millisecond))
+	h.is.Equal(len(got[2]), 0)
 }
 
-// TestDrainedRoomDoesNotCount: jobs that only the drained workers could end in time are
-// refused at once.
-func TestDrainedRoomDoesNotCount(t *testing.T) {
-	r := newRig(t, 2)
-	r.inCentres("d", "e")
-	r.LearnDrains(begin, drained(5, "d"))
-	r.submit(begin, 1, 4, 400*time.Millisecond)
-	r.is.Equal(len(r.got), 0)
-	r.is.Equal(int(r.shareOfRoom("s")), 4000)
-	r.submit(begin, 2, 8, 400*time.Millisecond) // wants twice the room that is left
-	r.submit(begin, 3, 8, 400*time.Millisecond)
-	r.is.True(len(started(r.flush(begin))[0]) == 0)
+// TestDrainedCapacityDoesNotCount verifies that jobs which only drained workers could end in time
+// are not admitted.
+func TestDrainedCapacityDoesNotCount(t *testing.T) {
+	h := newHarness(t, 2)
+	h.setDataCentres("d", "e")
+	h.LearnDrains(begin, drainView(5, "d"))
+	h.submit(begin, 1, 4, 400*time.Millisecond)
+	h.is.Equal(len(h.answers), 0)
+	h.is.Equal(int(h.cpuShare("s")), 4000)
+	h.submit(begin, 2, 8, 400*time.Millisecond) // needs twice the capacity that is left
+	h.submit(begin, 3, 8, 400*time.Millisecond)
+	h.is.True(len(startsByLink(h.flush(begin))[0]) == 0)
 }
 
-// TestAllDrainedRefusesAtOnce: callers hear that nothing ran, and when to come back.
-func TestAllDrainedRefusesAtOnce(t *testing.T) {
-	r := newRig(t, 2)
-	r.inCentres("d", "e")
-	r.LearnDrains(begin, drained(5, "d", "e"))
-	out := r.submit(begin, 1, 1, 100*time.Millisecond)
-	r.is.Equal(len(r.got), 1)
-	r.is.Equal(r.got[0].Kind, errkind.Overloaded)
-	r.is.True(r.got[0].RetryAfter > 0)
-	r.is.Equal(out.Notes[len(out.Notes)-1].Reason, "data centres drained")
-	r.is.Equal(r.Workers(), 2) // it goes on taking connections
+// TestJobIsRefusedAtOnceIfAllDataCentresAreDrained verifies that callers learn at once that nothing
+// ran and when to retry.
+func TestJobIsRefusedAtOnceIfAllDataCentresAreDrained(t *testing.T) {
+	h := newHarness(t, 2)
+	h.setDataCentres("d", "e")
+	h.LearnDrains(begin, drainView(5, "d", "e"))
+	out := h.submit(begin, 1, 1, 100*time.Millisecond)
+	h.is.Equal(len(h.answers), 1)
+	h.is.Equal(h.answers[0].Kind, errkind.Overloaded)
+	h.is.True(h.answers[0].RetryAfter > 0)
+	h.is.Equal(out.Notes[len(out.Notes)-1].Reason, "data centres drained")
+	h.is.Equal(h.Workers(), 2) // the entry keeps accepting connections
 }
 
-// TestRunRefusedByADrainIsPlacedElsewhereAtOnce: it did not begin, so it counts as no attempt.
+// TestRunRefusedByADrainIsPlacedElsewhereAtOnce also verifies that the refused run, which did not
+// begin, does not count as a failed attempt.
 func TestRunRefusedByADrainIsPlacedElsewhereAtOnce(t *testing.T) {
-	r := newRig(t, 2)
-	r.inCentres("d", "e")
-	got := started(r.submit(begin, 1, 1, 100*time.Millisecond))
+	h := newHarness(t, 2)
+	h.setDataCentres("d", "e")
+	got := startsByLink(h.submit(begin, 1, 1, 100*time.Millisecond))
 	from := LinkID(0)
 	if len(got[0]) == 0 {
 		from = 1
 	}
-	r.LearnDrains(after(5), drained(5, []string{"d", "e"}[from]))
-	out := r.endFor(after(10), int(from), 0, 1, runs.Refused, runs.Drained)
-	r.is.Equal(len(started(out)[1-from]), 1)
-	r.is.Equal(r.byTask[started(out)[1-from][0].Key.Task].failures, 0)
+	h.LearnDrains(after(5), drainView(5, []string{"d", "e"}[from]))
+	out := h.reportEndWithReason(after(10), int(from), 0, 1, runs.Refused, runs.Drained)
+	h.is.Equal(len(startsByLink(out)[1-from]), 1)
+	h.is.Equal(h.byTask[startsByLink(out)[1-from][0].Key.Task].failures, 0)
 }
 
-// TestAgentsHearOfADrainAtOnceAndThenThatItHolds: they rely on it to refuse starts.
-func TestAgentsHearOfADrainAtOnceAndThenThatItHolds(t *testing.T) {
-	r := newRig(t, 1)
-	r.LearnDrains(after(20), drained(5, "x"))
-	out := r.flush(after(20))
-	r.is.Equal(out.Sends[0].Msg.Drains.DataCentres, []string{"x"})
-	told := 0
+// TestDrainIsSentToAgentsAtOnceAndConfirmedPeriodically guards the recent view that agents need to
+// refuse starts.
+func TestDrainIsSentToAgentsAtOnceAndConfirmedPeriodically(t *testing.T) {
+	h := newHarness(t, 1)
+	h.LearnDrains(after(20), drainView(5, "x"))
+	out := h.flush(after(20))
+	h.is.Equal(out.Sends[0].Msg.Drains.DataCentres, []string{"x"})
+	sent := 0
 	for ms := 40; ms <= 2020; ms += 20 {
-		r.Tick(after(ms))
-		for _, s := range r.flush(after(ms)).Sends {
+		h.Tick(after(ms))
+		for _, s := range h.flush(after(ms)).Sends {
 			if s.Msg.Drains != nil {
-				told++
-				r.is.Equal(s.Msg.Drains.Age, time.Duration(ms-20)*time.Millisecond)
+				sent++
+				h.is.Equal(s.Msg.Drains.Age, time.Duration(ms-20)*time.Millisecond)
 			}
 		}
 	}
-	r.is.True(told >= 3)
+	h.is.True(sent >= 3)
 }
--- a/core/batch/durable.go
+++ b/core/batch/durable.go
@@ -7,20 +7,20 @@
 	"peridotpick.example/core/catalog"
 )
 
-// Durable hands over a job that the store keeps and that this entry owns there.
+// Durable is a job that the store keeps and this entry owns there.
 type Durable struct {
 	Job   string
 	Queue *catalog.Queue
-	// Version is that of the configuration in force.
+	// Version is the version of the configuration in force.
 	Version uint64
 	Spec    string
 	Steps   []Step
-	// Progress is what the store has of its tasks.
+	// Progress is the stored progress of its tasks.
 	Progress []TaskProgress
-	// SafeAt is when all runs that a former owner may have started are over, and it
-	// starts no more. Ends are believed before: a former owner that takes a run for
-	// lost must have the store say so before it starts the task again, and it no longer
-	// can. Zero for a new job.
+	// SafeAt is when all runs that a previous owner may have started are over, and it starts no
+	// more. Nothing is started before, but ends are accepted: a previous owner must store that a
+	// run is abandoned before it starts the task again, which it can no longer do. Zero for a new
+	// job.
 	SafeAt time.Time
 }
 
@@ -29,7 +29,7 @@
 
 // States of a durable job.
 const (
-	// JobQueued jobs have no task that began.
+	// JobQueued means that no task of the job was started.
 	JobQueued JobState = iota
 	JobRunning
 	JobDone
@@ -37,45 +37,48 @@
 	JobCancelled
 )
 
-// Ended reports whether nothing of the job runs any more.
+// Ended reports whether the state is final.
 func (s JobState) Ended() bool { return s >= JobDone }
 
-// durable is the part of a job that only durable jobs have.
+// durable is the additional state of a durable job.
 type durable struct {
 	state  JobState
 	safeAt time.Time
-	// seq is the number of the newest record, stored that of the newest in the store.
-	seq, stored uint64
-	// changed is set while there is something that no record has.
-	changed  bool
-	recordAt time.Time
-	// due are ends that may be forgotten once their record is stored.
-	due []dueNote
-	// disowned jobs belong to another entry, or to none that may start them.
+	// seq is the number of the newest record emitted, storedSeq that of the newest record in the
+	// store.
+	seq, storedSeq uint64
+	// unrecorded is set while the job has changes that no emitted record contains. recordAt is when
+	// the next record is due.
+	unrecorded bool
+	recordAt   time.Time
+	// pendingAcks are ends that are acknowledged to their agents once their record is stored.
+	pendingAcks []pendingAck
+	// disowned is set once this entry must not run the job.
 	disowned bool
-	// again is the job to begin with once all of a disowned one is over.
-	again *Durable
+	// reacquired is the job to own again once all runs of the disowned one are over.
+	reacquired *Durable
 	// forgetAt is when an ended job is forgotten.
 	forgetAt time.Time
 }
 
-// retainEnded is how long an ended job is remembered here: agents whose link
-// broke may still repeat its last ends.
-const retainEnded = 30 * time.Second
+// endedRetention is how long an ended job is remembered. Agents whose link broke may repeat its
+// last ends in this time.
+const endedRetention = 30 * time.Second
 
-// Confirm tells until when the entry is sure to own its durable jobs.
+// Confirm sets the time until which the entry's ownership of its durable jobs is confirmed.
 func (c *Core) Confirm(until time.Time) {
-	if until.After(c.ownedUntil) {
-		c.ownedUntil = until
+	if until.After(c.ownershipUntil) {
+		c.ownershipUntil = until
 	}
 }
 
-// checkOwnership gives all durable jobs up once another entry may have taken them.
+// checkOwnership disowns all durable jobs once the confirmation has expired and another entry may
+// take them over.
 func (c *Core) checkOwnership() {
-	if c.ownedUntil.IsZero() || c.now.Before(c.ownedUntil) {
+	if c.ownershipUntil.IsZero() || c.now.Before(c.ownershipUntil) {
 		return
 	}
-	c.ownedUntil = time.Time{}
+	c.ownershipUntil = time.Time{}
 	for j := range c.jobs.Values() {
 		if j.durable != nil && !j.ended {
 			c.Disown(c.now, j.name)
@@ -84,12 +87,13 @@
 	}
 }
 
-// Own begins with a durable job.
+// Own starts to run a durable job. If the job was disowned and still has runs, it starts once they
+// are over.
 func (c *Core) Own(now time.Time, d *Durable) {
-	c.Now(now)
+	c.Advance(now)
 	if old := c.jobs.Get(d.Job); old != nil {
 		if old.durable != nil && old.durable.disowned {
-			old.durable.again = d
+			old.durable.reacquired = d
 		}
 		return
 	}
@@ -97,81 +101,80 @@
 	j.requests = nil
 	j.durable = &durable{safeAt: d.SafeAt}
 	if now.Before(d.SafeAt) {
-		// Its former owner has been gone about as long as is waited for now.
+		// The previous owner has been gone for about as long as remains until SafeAt.
 		j.arrived = now.Add(now.Sub(d.SafeAt))
 	}
 	for i := range d.Progress {
-		j.restore(now, &d.Progress[i])
+		j.restoreTask(now, &d.Progress[i])
 	}
 	c.jobs.Put(j.name, j)
 	for i := range j.steps {
 		for _, t := range j.steps[i].tasks {
 			c.byTask[t.name] = t
-			t.taken = !d.SafeAt.IsZero()
+			t.takenOver = !d.SafeAt.IsZero()
 		}
 	}
-	c.note(Note{Event: "own", Job: j.name, Queue: j.queue.Name, Version: j.version, Wait: max(d.SafeAt.Sub(now), 0)})
-	if j.left == 0 {
-		c.ended(j, JobDone)
+	c.logDecision(Note{Event: "own", Job: j.name, Queue: j.queue.Name, Version: j.version, Wait: max(d.SafeAt.Sub(now), 0)})
+	if j.openTasks == 0 {
+		c.finishDurable(j, JobDone)
 		return
 	}
-	if !c.backlogged {
+	if !c.hasBacklog {
 		c.placeJob(j)
 	}
 }
 
-// Disown stops a job that this entry must not run any more. Its ends are left to
-// the entry that takes it over.
+// Disown stops a job that this entry must no longer run. The ends of its runs are left to the next
+// owner.
 func (c *Core) Disown(now time.Time, name string) {
-	c.Now(now)
+	c.Advance(now)
 	j := c.jobs.Get(name)
 	if j == nil || j.durable == nil || j.durable.disowned {
 		return
 	}
-	c.note(Note{Event: "disown", Job: j.name, Queue: j.queue.Name, Version: j.version})
+	c.logDecision(Note{Event: "disown", Job: j.name, Queue: j.queue.Name, Version: j.version})
 	j.durable.disowned = true
-	j.durable.due = nil
+	j.durable.pendingAcks = nil
 	j.durable.forgetAt = now
-	c.endJob(j)
+	c.stopJob(j)
 }
 
-// Cancelled ends a job that the store has as cancelled.
+// Cancelled stops a job that is cancelled in the store.
 func (c *Core) Cancelled(now time.Time, name string) {
-	c.Now(now)
+	c.Advance(now)
 	j := c.jobs.Get(name)
 	if j == nil || j.durable == nil || j.durable.disowned || j.durable.state.Ended() {
 		return
 	}
-	c.note(Note{Event: "cancelled", Job: j.name, Queue: j.queue.Name, Version: j.version})
+	c.logDecision(Note{Event: "cancelled", Job: j.name, Queue: j.queue.Name, Version: j.version})
 	j.durable.state = JobCancelled
-	j.durable.stored = j.durable.seq
-	j.durable.forgetAt = now.Add(retainEnded)
-	c.noteDue(j)
-	c.endJob(j)
+	j.durable.storedSeq = j.durable.seq
+	j.durable.forgetAt = now.Add(endedRetention)
+	c.ackStoredEnds(j)
+	c.stopJob(j)
 }
 
-// State tells the state of a durable job that is owned here.
+// State returns the state of a durable job. It reports false if the job is not owned here.
 func (c *Core) State(name string) (JobState, bool) {
 	j := c.jobs.Get(name)
 	if j == nil || j.durable == nil || j.durable.disowned {
 		return JobQueued, false
 	}
 	d := j.durable
-	if d.state.Ended() && d.stored < d.seq {
-		return JobRunning, true // shown as ended only once that is stored
+	if d.state.Ended() && d.storedSeq < d.seq {
+		return JobRunning, true // shown as ended only once the end is stored
 	}
 	return d.state, true
 }
 
-// ended notes the end of a durable job.
-func (c *Core) ended(j *job, state JobState) {
+// finishDurable sets the final state of a durable job and schedules its record.
+func (c *Core) finishDurable(j *job, state JobState) {
 	j.ended = true
 	j.durable.state = state
-	c.changed(j, 0)
+	c.scheduleRecord(j, 0)
 }
 
-// forgetEnded forgets durable jobs that ended long ago, and disowned ones once
-// nothing of them runs.
+// forgetEnded forgets durable jobs whose retention has passed, and disowned ones without runs.
 func (c *Core) forgetEnded() {
 	for j := range c.jobs.Values() {
 		if j.durable != nil && j.ended {
@@ -180,15 +183,15 @@
 	}
 }
 
-// keepsDurable reports whether an ended job must still be remembered.
-func (c *Core) keepsDurable(j *job) bool {
+// mustRetain reports whether an ended durable job must still be remembered.
+func (c *Core) mustRetain(j *job) bool {
 	d := j.durable
 	return d != nil && (d.forgetAt.IsZero() || c.now.Before(d.forgetAt))
 }
 
-// failDurable ends a durable job as failed.
+// failDurable sets a durable job to failed if its task failed.
 func (c *Core) failDurable(j *job, kind errkind.Kind) {
 	if j.durable != nil && kind == errkind.TaskFailed {
-		c.ended(j, JobFailed)
+		c.finishDurable(j, JobFailed)
 	}
 }
--- a/core/batch/ends.go
+++ b/core/batch/ends.go
@@ -5,21 +5,21 @@
 	"peridotpick.example/wire/runs"
 )
 
-// endOf handles the end of a run.
-func (c *Core) endOf(worker string, end runs.End) {
+// handleEnd handles the end of a run on a worker.
+func (c *Core) handleEnd(worker string, end runs.End) {
 	t := c.byTask[end.Key.Task]
-	if t != nil && end.Reason == runs.Crashed && t.lostBefore(end.Key.Run) {
-		c.workerLost(t, worker, end)
+	if t != nil && end.Reason == runs.Crashed && t.takeLateCrash(end.Key.Run) {
+		c.handleWorkerCrash(t, worker, end)
 		return
 	}
 	if t == nil || t.state != taskPlaced || t.run != end.Key.Run {
-		return // of an earlier run or a job that is forgotten
+		return // of an earlier run, or of a job that is forgotten
 	}
 	j := t.job
-	if a := c.agents.Get(t.on); a != nil {
-		a.runs--
+	if a := c.agents.Get(t.link); a != nil {
+		a.runCount--
 	}
-	c.note(Note{
+	c.logDecision(Note{
 		Event: "end", Job: j.name, Queue: j.queue.Name, Version: j.version, Key: end.Key, Worker: worker,
 		How: end.How, Reason: end.Reason.String(), Age: c.now.Sub(t.sentAt), Expected: t.expected,
 	})
@@ -28,72 +28,73 @@
 	}
 	t.stopping, t.moving = false, false
 	t.slow = false
-	t.waitsAt = 0
+	t.waitingReport = 0
 	if end.How == runs.Done {
-		c.taskDone(t, end)
+		c.completeTask(t, end)
 	} else {
 		t.state = taskWaiting
 		if j.durable != nil && !end.Held && end.How != runs.Refused && !j.ended {
-			c.abandon(t, end.Key.Run)
+			c.abandonRun(t, end.Key.Run)
 		}
-		c.ranBadly(t, worker, end)
+		c.handleUnsuccessfulRun(t, worker, end)
 	}
 	if j.ended {
-		c.answerProved(j)
+		c.answerIfProven(j)
 		c.forgetIfOver(j)
 		return
 	}
 	c.placeJob(j)
 }
 
-func (c *Core) taskDone(t *task, end runs.End) {
+// completeTask handles that a run has completed its task, and the job if it was the last one.
+func (c *Core) completeTask(t *task, end runs.End) {
 	t.state = taskDone
-	t.step.left--
-	t.job.left--
+	t.step.openTasks--
+	t.job.openTasks--
 	if end.Ran > 0 {
 		c.waits.observe(t.expectedWait, max(c.now.Sub(t.sentAt)-end.Ran-c.settings.Overhead/2, 0))
-		c.learn.observe(t.job.queue.Name, t.step.Estimate, end.Ran)
+		c.runTimes.observe(t.job.queue.Name, t.step.Estimate, end.Ran)
 	}
-	if t.job.left == 0 && !t.job.ended {
-		c.note(Note{Event: "done", Job: t.job.name, Queue: t.job.queue.Name, Version: t.job.version, Age: c.now.Sub(t.job.arrived), Expected: t.job.objective, Deferred: t.job.wasDeferred})
-		c.answer(t.job, errkind.OK)
+	if t.job.openTasks == 0 && !t.job.ended {
+		c.logDecision(Note{Event: "done", Job: t.job.name, Queue: t.job.queue.Name, Version: t.job.version, Age: c.now.Sub(t.job.arrived), Expected: t.job.objective, Deferred: t.job.wasDeferred})
+		c.answerRequests(t.job, errkind.OK)
 		t.job.ended = true
 		if t.job.durable != nil {
-			c.ended(t.job, JobDone)
+			c.finishDurable(t.job, JobDone)
 		}
 	}
 }
 
-// ranBadly counts a run that did not complete its task.
-func (c *Core) ranBadly(t *task, worker string, end runs.End) {
+// handleUnsuccessfulRun handles a run that did not complete its task.
+func (c *Core) handleUnsuccessfulRun(t *task, worker string, end runs.End) {
 	switch end.Reason {
 	case runs.Crashed:
-		c.workerLost(t, worker, end)
+		c.handleWorkerCrash(t, worker, end)
 	case runs.Lapsed:
-		c.workerSilent(t, worker, end)
+		c.handleSilentWorker(t, worker, end)
 	}
 	switch end.How {
 	case runs.Failed:
-		c.taskFailed(t, worker)
+		c.countFailure(t, worker)
 	case runs.Refused:
 		if t.refusedBy == nil {
 			t.refusedBy = make(map[string]int)
 		}
 		t.refusedBy[worker]++
 		if end.Reason == runs.OldRun {
-			t.run += oldRunStep
+			t.run += runNumberGap
 		}
 	}
 }
 
-// taskFailed counts a failure of the task itself. Failures on a worker that
-// fails most of what it runs say nothing of the task.
-func (c *Core) taskFailed(t *task, worker string) {
+// countFailure counts a failed run of a task. Failures of an awaited job on a failing worker do not
+// count, as they say nothing about the task.
+func (c *Core) countFailure(t *task, worker string) {
 	if t.failedOn == nil {
 		t.failedOn = make(map[string]int)
 	}
 	t.failedOn[worker]++
-	if t.job.durable == nil && c.failing(worker) {
+	if t.job.durable == nil && c.isFailing(worker) {
 		return
 	}
 	t.failures++
--- a/core/batch/job.go
+++ b/core/batch/job.go
@@ -10,7 +10,7 @@
 	"peridotpick.example/wire/runs"
 )
 
-// job is a submission whose answer is awaited.
+// job is an awaited or durable job.
 type job struct {
 	name     string
 	queue    *catalog.Queue
@@ -20,19 +20,21 @@
 	requests []RequestID
 	arrived  time.Time
 	deadline time.Time
-	// objective is the time from arrival within which it should end.
+	// objective is the time from arrival within which the job should end.
 	objective time.Duration
-	// begun is true once a run is known to have begun.
+	// begun is set once a run of the job is known to have begun.
 	begun bool
-	// ended jobs get no more starts; they wait for their runs to be over.
+	// ended is set once the job gets no more starts. It is kept until all its runs are over.
 	ended bool
-	// answerBy is set while the answer of an ended job waits for its agents to say
-	// whether anything began.
-	answerBy time.Time
-	left     int
-	// deferred jobs wait for room that stays free, late ones were started in it.
-	deferred, late bool
-	// wasDeferred is set once it was deferred, whatever became of it.
+	// proofDeadline is set while the answer of an ended job waits for its agents to report whether
+	// anything began.
+	proofDeadline time.Time
+	// openTasks is the number of tasks that are not done.
+	openTasks int
+	// deferred is set while the job waits for spare capacity. pastObjective is set if it was
+	// started there too late for its objective.
+	deferred, pastObjective bool
+	// wasDeferred is set once the job was deferred and stays set.
 	wasDeferred bool
 	// durable is nil for an awaited job.
 	durable *durable
@@ -41,10 +43,10 @@
 // step is a Step with its tasks.
 type step struct {
 	Step
-	// estimate is the run time expected of one task.
-	estimate time.Duration
-	tasks    []*task
-	left     int
+	// estimate is the expected run time of one task.
+	estimate  time.Duration
+	tasks     []*task
+	openTasks int
 }
 
 // task is one task of a job.
@@ -53,73 +55,80 @@
 	step  *step
 	name  string
 	state taskState
-	// run numbers the task's starts.
+	// run is the number of the task's newest start.
 	run uint32
-	// on is where the present run was sent to.
-	on       LinkID
-	agent    string
-	worker   string
-	sentAt   time.Time
+	// link is the link on which the current run was started.
+	link LinkID
+	// agent and worker are where the current run was started, at sentAt.
+	agent  string
+	worker string
+	sentAt time.Time
+	// expected is the expected time from the start message to the end of the run.
 	expected time.Duration
-	// expectedWait is the part of it before the start.
+	// expectedWait is the part of expected before the start.
 	expectedWait time.Duration
-	// slow is set if its agent last reported that it takes too long.
-	slow      bool
+	// slow is set if the agent reported that the run takes longer than estimated.
+	slow bool
+	// remaining is the last reported time to the end of a slow run.
 	remaining time.Duration
-	// waitsAt is the agent's message that reported it as waiting.
-	waitsAt uint64
-	// withdrawnAt is when it was last withdrawn from a queue.
+	// waitingReport is the number of the agent's message that last reported the run as waiting.
+	waitingReport uint64
+	// withdrawnAt is when the run was last asked to be withdrawn from the agent's queue.
 	withdrawnAt time.Time
-	// stopping is set while its run shall end, moving if only to start again elsewhere.
+	// stopping is set while a stop of the run is pending; moving is set in addition if the task is
+	// to be started elsewhere after it.
 	stopping, moving bool
-	// failedOn are the workers on which it failed.
+	// failedOn counts the failures of the task by worker.
 	failedOn map[string]int
 	failures int
-	// lost counts the workers that were lost under it, blamed the crashes that are put
-	// down to it.
-	lost, blamed int
-	// lapsed are the runs that were lost with a worker which went silent, with the time of
-	// it, as long as it is not known whether the worker had crashed.
-	lapsed map[uint32]time.Time
-	// crashed are the runs that were counted as lost with a worker that crashed.
-	crashed map[uint32]bool
-	// refusedBy are the workers that refused it, with their number of refusals.
+	// lostWorkers is the number of workers that were lost while they ran the task, blamedCrashes
+	// the number of crashes attributed to it.
+	lostWorkers, blamedCrashes int
+	// silentRuns maps runs whose worker stopped answering to the time of it, as long as it is not
+	// known whether the worker crashed.
+	silentRuns map[uint32]time.Time
+	// crashedRuns are the runs whose worker is known to have crashed and was counted.
+	crashedRuns map[uint32]bool
+	// refusedBy counts the refusals of the task by worker.
 	refusedBy map[string]int
-	// checkpoint resumes the task; empty if there is none.
+	// checkpoint is where the next run resumes; empty if there is none.
 	checkpoint string
-	// taken tasks had another owner, whose newest run's number is not known.
-	taken bool
-	// handled are the runs whose kept ends were taken, counted the newest of them.
-	handled map[uint32]bool
-	counted uint32
-	// abandoned is the newest run that was lost from sight, blockedBy the record that
-	// must be stored before the task starts again.
-	abandoned uint32
-	blockedBy uint64
+	// takenOver is set for tasks of a previous owner, whose newest run number is not known.
+	takenOver bool
+	// handledRuns are the runs whose held ends were handled, newestHandledRun the newest of them.
+	handledRuns      map[uint32]bool
+	newestHandledRun uint32
+	// abandonedRun is the newest run whose outcome is unknown and no longer counts. blockingRecord
+	// is the number of the record that must be stored before the task starts again.
+	abandonedRun   uint32
+	blockingRecord uint64
 }
 
+// taskState is whether a task has a run.
 type taskState uint8
 
 const (
+	// taskWaiting tasks have no run.
 	taskWaiting taskState = iota
+	// taskPlaced tasks have a run that was sent to an agent and has not ended.
 	taskPlaced
 	taskDone
 )
 
 func (t *task) key() runs.Key { return runs.Key{Task: t.name, Run: t.run} }
 
-// oldRunStep is how far the number of a run is raised when the worker has seen
-// a higher one, of the same job sent to another entry before.
-const oldRunStep = 16
+// runNumberGap is added to the run number of a task when its worker may have seen a higher one,
+// from another entry that had the same job.
+const runNumberGap = 16
 
-// Submit handles a new job, or one that was sent again.
+// Submit handles a new or repeated submission of a job.
 func (c *Core) Submit(now time.Time, r *Request) {
-	c.Now(now)
+	c.Advance(now)
 	if now.Before(c.settledAt) {
-		// What is read right after a suspension may have been sent long before, by
-		// a caller that has gone elsewhere since.
-		c.refuse(r.ID, refusal{errkind.Draining, "settling", retrySoon, false})
-		c.note(Note{Event: "refuse", Job: r.Job, Queue: r.Queue.Name, Version: r.Version, Reason: "settling"})
+		// Requests read right after a suspension may have been sent long before, by callers that
+		// have gone to another entry since.
+		c.refuse(r.ID, refusal{errkind.Draining, "settling", retryDelay, false})
+		c.logDecision(Note{Event: "refuse", Job: r.Job, Queue: r.Queue.Name, Version: r.Version, Reason: "settling"})
 		return
 	}
 	if old := c.jobs.Get(r.Job); old != nil && old.durable == nil {
@@ -127,18 +136,18 @@
 		return
 	}
 	j := c.newJob(r)
-	if c.recallSuspects(j) {
+	if c.applySuspects(j) {
 		c.out.Answers = append(c.out.Answers, Answer{Request: r.ID, Kind: errkind.TaskFailed})
-		c.note(Note{Event: "give up", Job: j.name, Queue: j.queue.Name, Version: j.version, Reason: "its task crashes workers"})
+		c.logDecision(Note{Event: "give up", Job: j.name, Queue: j.queue.Name, Version: j.version, Reason: "its task crashes workers"})
 		return
 	}
 	plan, refused := c.admit(j)
-	deferred := refused != nil && refused.late && c.mayDefer(j)
-	c.yields.of(c.now, j.queue).offered++
+	deferred := refused != nil && refused.deferrable && c.canDefer(j)
+	c.losses.forQueue(c.now, j.queue).offered++
 	if refused != nil && !deferred {
-		c.yields.of(c.now, j.queue).lost++
+		c.losses.forQueue(c.now, j.queue).lost++
 		c.refuse(r.ID, *refused)
-		c.note(Note{Event: "refuse", Job: j.name, Queue: j.queue.Name, Version: j.version, Reason: refused.reason, Wait: plan.delay, Slack: plan.slack, Expected: plan.finish, Age: plan.age})
+		c.logDecision(Note{Event: "refuse", Job: j.name, Queue: j.queue.Name, Version: j.version, Reason: refused.reason, Wait: plan.delay, Slack: plan.slack, Expected: plan.finish, Age: plan.age})
 		return
 	}
 	c.jobs.Put(j.name, j)
@@ -149,69 +158,71 @@
 		}
 	}
 	if deferred {
-		c.defers(j, plan, refused.reason)
+		c.deferJob(j, plan, refused.reason)
 		return
 	}
-	c.note(Note{Event: "admit", Job: j.name, Queue: j.queue.Name, Version: j.version, Wait: plan.delay, Slack: plan.slack, Expected: plan.finish, Age: plan.age})
-	c.workOf(j.queue.Service).urgent.took(c.now, j.work())
-	c.carryOut(plan)
+	c.logDecision(Note{Event: "admit", Job: j.name, Queue: j.queue.Name, Version: j.version, Wait: plan.delay, Slack: plan.slack, Expected: plan.finish, Age: plan.age})
+	c.startedWorkOf(j.queue.Service).immediate.add(c.now, j.openWork())
+	c.startPlan(plan)
 }
 
-// attach makes a repeated submission wait for the job that is here. One that was
-// ended goes on: tasks that are being stopped start anew once they are over.
+// attach adds a repeated submission to the existing job. If the job had ended it is resumed: tasks
+// whose runs are being stopped start again once these are over.
 func (c *Core) attach(j *job, r *Request) {
 	j.requests = append(j.requests, r.ID)
 	c.byRequest[r.ID] = j
 	j.deadline = r.Deadline
 	if j.ended {
 		j.ended = false
-		j.answerBy = time.Time{}
+		j.proofDeadline = time.Time{}
 		j.arrived = c.now
-		j.late = false
+		j.pastObjective = false
 	}
-	c.note(Note{Event: "attach", Job: j.name, Queue: j.queue.Name, Version: j.version})
+	c.logDecision(Note{Event: "attach", Job: j.name, Queue: j.queue.Name, Version: j.version})
 	c.placeJob(j)
 }
 
+// newJob returns a job with waiting tasks. It is not added to the core's jobs.
 func (c *Core) newJob(r *Request) *job {
 	j := &job{
 		name: r.Job, queue: r.Queue, version: r.Version, spec: r.Spec, requests: []RequestID{r.ID},
-		arrived: c.arrival(r), deadline: r.Deadline, steps: make([]step, len(r.Steps)),
+		arrived: c.arrivalTime(r), deadline: r.Deadline, steps: make([]step, len(r.Steps)),
 	}
 	for i := range r.Steps {
 		s := &j.steps[i]
 		s.Step = r.Steps[i]
 		s.estimate = s.Estimate
 		if c.settings.Policy.Has(policy.LearnedRunTimes) {
-			s.estimate = c.learn.expect(j.queue.Name, s.Estimate)
+			s.estimate = c.runTimes.expect(j.queue.Name, s.Estimate)
 		}
-		s.left = s.Count
-		j.left += s.Count
+		s.openTasks = s.Count
+		j.openTasks += s.Count
 		for n := range s.Count {
 			s.tasks = append(s.tasks, &task{job: j, step: s, name: TaskName(r.Job, i, n)})
 		}
 	}
-	j.objective = j.queue.Objective(j.chain())
+	j.objective = j.queue.Objective(j.criticalPath())
 	return j
 }
 
-// arrival is when a request came. What it has waited in this process since counts
-// against its objective: an entry whose processor is the bottleneck would otherwise take
-// every job as one that is in time, and serve all of them late.
-func (c *Core) arrival(r *Request) time.Time {
+// arrivalTime returns when a request arrived. The time it has waited in this process counts against
+// the objective: otherwise an entry whose processor is the bottleneck would admit every job as one
+// that is in time, and serve all of them late.
+func (c *Core) arrivalTime(r *Request) time.Time {
 	if r.Arrived.IsZero() || r.Arrived.After(c.now) {
 		return c.now
 	}
 	return r.Arrived
 }
 
-// TaskName returns the name of a task of a job that runs once.
+// TaskName returns the name of a task: the job, 0 for its only repetition, the step and the task's
+// index in the step.
 func TaskName(job string, step, index int) string {
 	return job + ".0." + strconv.Itoa(step) + "." + strconv.Itoa(index)
 }
 
-// chain returns the longest chain of estimated work.
-func (j *job) chain() time.Duration {
+// criticalPath returns the longest chain of dependent estimated work.
+func (j *job) criticalPath() time.Duration {
 	ends := make([]time.Duration, len(j.steps))
 	var longest time.Duration
 	for i := range j.steps {
@@ -225,19 +236,19 @@
 	return longest
 }
 
-// ready reports whether the tasks of a step may start.
-func (j *job) ready(s *step) bool {
+// isReady reports whether the tasks of a step may start, as all steps before it are complete.
+func (j *job) isReady(s *step) bool {
 	for _, before := range s.After {
-		if j.steps[before].left > 0 {
+		if j.steps[before].openTasks > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Cancel handles that the caller of a request has gone.
+// Cancel handles that the caller of a request has disconnected.
 func (c *Core) Cancel(now time.Time, id RequestID) {
-	c.Now(now)
+	c.Advance(now)
 	j := c.byRequest[id]
 	if j == nil {
 		return
@@ -250,14 +261,15 @@
 		}
 	}
 	if len(j.requests) == 0 {
-		c.note(Note{Event: "caller gone", Job: j.name, Queue: j.queue.Name, Version: j.version})
-		c.endJob(j)
+		c.logDecision(Note{Event: "caller gone", Job: j.name, Queue: j.queue.Name, Version: j.version})
+		c.stopJob(j)
 	}
 }
 
-// CancelJob ends a job by its name. It reports whether the job was here.
+// CancelJob cancels the awaited job of the given name. It reports whether the job was here and had
+// not ended.
 func (c *Core) CancelJob(now time.Time, name string) bool {
-	c.Now(now)
+	c.Advance(now)
 	j := c.jobs.Get(name)
 	if j == nil || j.ended || j.durable != nil {
 		return false
@@ -266,22 +278,24 @@
 	return true
 }
 
-// endJob stops what runs of a job; the job is forgotten when all is over.
-func (c *Core) endJob(j *job) {
+// stopJob marks a job as ended and stops its runs. The job is forgotten once all of them are over.
+func (c *Core) stopJob(j *job) {
 	j.ended = true
-	c.undefer(j)
+	c.stopDeferring(j)
 	for i := range j.steps {
 		for _, t := range j.steps[i].tasks {
 			if t.state == taskPlaced {
-				c.stop(t)
+				c.stopRun(t)
 			}
 		}
 	}
 	c.forgetIfOver(j)
 }
 
+// forgetIfOver removes an ended job without runs, unless it must be retained. A job that this entry
+// has acquired again meanwhile starts.
 func (c *Core) forgetIfOver(j *job) {
-	if j.placed() || c.keepsDurable(j) {
+	if j.hasPlacedRun() || c.mustRetain(j) {
 		return
 	}
 	c.jobs.Delete(j.name)
@@ -290,12 +304,12 @@
 			delete(c.byTask, t.name)
 		}
 	}
-	if j.durable != nil && j.durable.again != nil {
-		c.Own(c.now, j.durable.again)
+	if j.durable != nil && j.durable.reacquired != nil {
+		c.Own(c.now, j.durable.reacquired)
 	}
 }
 
-// checkDeadline gives a job up whose caller has stopped waiting.
+// checkDeadline gives up an awaited job whose deadline has passed.
 func (c *Core) checkDeadline(j *job) {
 	if j.durable != nil {
 		return
@@ -303,11 +317,11 @@
 	if !j.ended && !c.now.Before(j.deadline) {
 		c.giveUp(j, outOfTime, "deadline")
 	}
-	c.answerProved(j)
+	c.answerIfProven(j)
 }
 
-// placed reports whether a run was sent out that has not ended: it may have begun.
-func (j *job) placed() bool {
+// hasPlacedRun reports whether some run was sent to an agent and has not ended; it may have begun.
+func (j *job) hasPlacedRun() bool {
 	for i := range j.steps {
 		for _, t := range j.steps[i].tasks {
 			if t.state == taskPlaced {
--- a/core/batch/meter.go
+++ b/core/batch/meter.go
@@ -5,40 +5,43 @@
 	"time"
 )
 
-// meter measures an amount of work a second.
-type meter struct {
-	// sum is a decaying sum of work as of the time at.
-	sum float64
-	at  time.Time
+// rateMeter measures a rate of work.
+type rateMeter struct {
+	// sum is the exponentially decaying sum of work as of updatedAt.
+	sum       float64
+	updatedAt time.Time
 }
 
-// meterHalfLife is the time after which work counts half: bursts last a few seconds.
+// meterHalfLife is the time in which the weight of work halves. It is short because bursts last a
+// few seconds.
 const meterHalfLife = time.Second
 
-func (m *meter) took(now time.Time, work float64) {
-	m.sum = m.sum*decay(now.Sub(m.at), meterHalfLife) + work
-	m.at = now
+// add adds work done at the given time.
+func (m *rateMeter) add(now time.Time, work float64) {
+	m.sum = m.sum*decay(now.Sub(m.updatedAt), meterHalfLife) + work
+	m.updatedAt = now
 }
 
-// rate returns the work a second of the last seconds.
-func (m *meter) rate(now time.Time) float64 {
-	return m.sum * decay(now.Sub(m.at), meterHalfLife) * math.Ln2 / meterHalfLife.Seconds()
+// rate returns the work per second over the last seconds.
+func (m *rateMeter) rate(now time.Time) float64 {
+	return m.sum * decay(now.Sub(m.updatedAt), meterHalfLife) * math.Ln2 / meterHalfLife.Seconds()
 }
 
-// decay returns what is left of a value after a time.
+// decay returns the remaining share of a value after the given time.
 func decay(age, halfLife time.Duration) float64 {
 	return math.Exp2(-age.Seconds() / halfLife.Seconds())
 }
 
 // startedWork is the work that this entry has started for a service, in thousandths of a
-// core-second: of jobs taken at once, and of deferred ones.
-type startedWork struct{ urgent, deferred meter }
+// core-second: that of jobs started on admission and that of deferred jobs.
+type startedWork struct{ immediate, deferred rateMeter }
 
-func (c *Core) workOf(service string) *startedWork {
-	w := c.started[service]
+// startedWorkOf returns the work started for a service.
+func (c *Core) startedWorkOf(service string) *startedWork {
+	w := c.startedWork[service]
 	if w == nil {
 		w = new(startedWork)
-		c.started[service] = w
+		c.startedWork[service] = w
 	}
 	return w
 }
--- a/core/batch/move.go
+++ b/core/batch/move.go
@@ -6,91 +6,93 @@
 	"peridotpick.example/core/policy"
 )
 
-// moveSlow stops runs that would end sooner elsewhere: those that wait while
-// another worker has room, and those on a slow worker, whose work begins anew.
-func (c *Core) moveSlow() {
+// moveRuns moves runs that would end sooner on another worker: runs that wait while another worker
+// has free resources, and runs on a slow worker, whose work is repeated.
+func (c *Core) moveRuns() {
 	for j := range c.jobs.Values() {
 		if j.ended {
 			continue
 		}
 		for i := range j.steps {
 			for _, t := range j.steps[i].tasks {
-				c.moveTask(t)
+				c.moveRunIfFaster(t)
 			}
 		}
 	}
 }
 
-func (c *Core) moveTask(t *task) {
-	from := c.agents.Get(t.on)
+// moveRunIfFaster requests the withdrawal or the stop of a task's run if it would end sooner on
+// another worker. The task is placed again after the end of the run.
+func (c *Core) moveRunIfFaster(t *task) {
+	from := c.agents.Get(t.link)
 	if t.state != taskPlaced || t.stopping || from == nil {
 		return
 	}
-	waits := t.waitsAt == from.heard
-	if !c.mayMove(waits) {
+	isWaiting := t.waitingReport == from.messages
+	if !c.isMoveEnabled(isWaiting) {
 		return
 	}
-	if !waits && !t.slow || c.now.Sub(t.withdrawnAt) < withdrawAgain {
+	if !isWaiting && !t.slow || c.now.Sub(t.withdrawnAt) < withdrawRetryInterval {
 		return
 	}
-	here, slack := t.remaining, t.job.slackLeft(c.now)
-	if waits {
-		here = c.waitFor(from, c.free(from, slack), t.step.Need) + c.runTime(from, t)
-	} else if c.relativeSlowness(from) < moveFrom {
+	remainingHere, slack := t.remaining, t.job.slackLeft(c.now)
+	if isWaiting {
+		remainingHere = c.waitFor(from, c.freeResources(from, slack), t.step.Need) + c.runTime(from, t)
+	} else if c.relativeSlowness(from) < moveSlowness {
 		return // the run is long by its own work
 	}
-	there, found := c.bestElsewhere(t, from, waits && !c.unsound(from))
-	if !found || there+moveMargin+t.step.estimate/moveGainPart > here {
+	remainingElsewhere, found := c.bestElsewhere(t, from, isWaiting && !c.isUnhealthy(from))
+	if !found || remainingElsewhere+moveOverhead+t.step.estimate/moveGainDivisor > remainingHere {
 		return
 	}
-	c.note(Note{
+	c.logDecision(Note{
 		Event: "move", Job: t.job.name, Queue: t.job.queue.Name, Version: t.job.version, Key: t.key(), Worker: t.worker,
-		Expected: here, Age: c.now.Sub(from.loadAt),
+		Expected: remainingHere, Age: c.now.Sub(from.loadAt),
 	})
-	if !waits {
+	if !isWaiting {
 		t.stopping, t.moving = true, true
 		from.out.Moves = append(from.out.Moves, t.key())
-		c.mark(from)
+		c.markDirty(from)
 		return
 	}
 	t.withdrawnAt = c.now
 	from.out.Withdraws = append(from.out.Withdraws, t.key())
-	c.mark(from)
+	c.markDirty(from)
 }
 
-// mayMove reports whether runs that wait, or that are slow, are moved at all.
-func (c *Core) mayMove(waits bool) bool {
-	if waits {
+// isMoveEnabled reports whether the policy allows moving waiting runs or slow ones, respectively.
+func (c *Core) isMoveEnabled(isWaiting bool) bool {
+	if isWaiting {
 		return c.settings.Policy.Has(policy.Withdrawing)
 	}
 	return c.settings.Policy.Has(policy.Restarting)
 }
 
 const (
-	// moveFrom is the slowness of a worker, against the typical one, from which
-	// its runs are moved: below it a long run is long by its own work.
-	moveFrom = 1.8
-	// moveMargin is the time that a move itself takes, and moveGainPart the part of
-	// the estimate that it must gain besides.
-	moveMargin   = 10 * time.Millisecond
-	moveGainPart = 4
-	// withdrawAgain is the time after which a withdrawal that met a run already
-	// begun, or was lost, may be repeated.
-	withdrawAgain = 100 * time.Millisecond
+	// moveSlowness is the slowness of a worker relative to the median from which its runs are
+	// moved. Below it a long run is long by its own work.
+	moveSlowness = 1.8
+	// moveOverhead is the time that a move takes. A move must also gain at least the estimate
+	// divided by moveGainDivisor.
+	moveOverhead    = 10 * time.Millisecond
+	moveGainDivisor = 4
+	// withdrawRetryInterval is the time after which a withdrawal may be repeated, in case it was
+	// lost or the run had begun.
+	withdrawRetryInterval = 100 * time.Millisecond
 )
 
-// bestElsewhere returns the shortest expected time to the end of a task on
-// another worker. With atOnce only workers count that have room now: in overload
-// all queues look much the same, and runs would go round between them.
+// bestElsewhere returns the shortest expected time to the end of a task on another worker. With
+// atOnce only workers with free resources count. Under overload all queues are of similar length,
+// and runs would move back and forth between them.
 func (c *Core) bestElsewhere(t *task, from *agent, atOnce bool) (time.Duration, bool) {
 	var best time.Duration
 	found := false
-	none := &trial{}
+	nothingPlanned := &plannedLoad{}
 	for _, a := range c.candidates(t.job.queue.Service) {
-		if a == from || !c.allowed(t, a, none) {
+		if a == from || !c.isAllowed(t, a, nothingPlanned) {
 			continue
 		}
-		wait := c.waitFor(a, c.free(a, t.job.slackLeft(c.now)), t.step.Need)
+		wait := c.waitFor(a, c.freeResources(a, t.job.slackLeft(c.now)), t.step.Need)
 		if atOnce && wait > 0 {
 			continue
 		}
--- a/core/batch/place.go
+++ b/core/batch/place.go
@@ -10,67 +10,70 @@
 	"peridotpick.example/wire/runs"
 )
 
-// plan says where tasks of a job go.
+// plan assigns tasks of a job to workers.
 type plan struct {
-	places []place
-	// delay is the longest expected time to a start, finish to an end.
+	placements []placement
+	// delay is the longest expected wait for a start, finish the longest expected time to an end.
 	delay, finish time.Duration
-	// age is that of the oldest load that decided.
+	// age is the age of the oldest load report that the plan is based on.
 	age time.Duration
-	// slack is what the job's tasks may wait and still end in time.
+	// slack is how long the job's tasks may wait and still meet its objective.
 	slack time.Duration
-	// missing counts tasks for which there is no worker.
+	// missing is the number of tasks for which no worker was found.
 	missing int
-	// held is set if tasks were left out, since they would wait too long for room.
-	held bool
+	// truncated is set if tasks were left out because they would wait too long for resources.
+	truncated bool
 }
 
-type place struct {
+// placement assigns a task to an agent's worker.
+type placement struct {
 	task  *task
 	agent *agent
-	// wait is the expected time to the start, run that of the run.
+	// wait is the expected time to the start, run the expected run time.
 	wait, run time.Duration
 }
 
-// trial is what a plan has put on an agent so far.
-type trial struct {
-	used room.Room
-	// count is by step; it is kept for steps with a bound on one worker only.
-	count map[*step]int
+// plannedLoad is what the current plan has assigned to an agent so far.
+type plannedLoad struct {
+	resources room.Room
+	// tasksByStep counts the assigned tasks of steps with an AntiAffinity limit.
+	tasksByStep map[*step]int
 }
 
-func (tr *trial) add(s *step) {
-	tr.used = tr.used.Plus(s.Need)
+// add adds a task of a step.
+func (l *plannedLoad) add(s *step) {
+	l.resources = l.resources.Plus(s.Need)
 	if s.AntiAffinity == 0 {
 		return
 	}
-	if tr.count == nil {
-		tr.count = make(map[*step]int)
+	if l.tasksByStep == nil {
+		l.tasksByStep = make(map[*step]int)
 	}
-	tr.count[s]++
+	l.tasksByStep[s]++
 }
 
-// planJob finds places for the tasks of a job that may start now.
+// planJob finds placements for the tasks of a job that may start now.
 func (c *Core) planJob(j *job) plan { return c.planWithin(j, 0) }
 
-// planWithin leaves tasks out that would wait for room longer than a limit; 0 sets
-// none. Tasks of a step are alike: after the first one the others are not tried.
+// planWithin plans like planJob but leaves out tasks that would wait longer than limit for
+// resources; 0 means no limit. As the tasks of a step are identical, the rest of a step is skipped
+// after the first task over the limit.
 func (c *Core) planWithin(j *job, limit time.Duration) plan {
 	var p plan
-	c.usable = c.appendCandidates(c.usable[:0], j.queue.Service)
-	c.plans++
+	c.planCandidates = c.appendCandidates(c.planCandidates[:0], j.queue.Service)
+	c.planCount++
 	p.slack = j.slackLeft(c.now)
 	for i := range j.steps {
 		s := &j.steps[i]
-		if s.left == 0 || !j.ready(s) {
+		if s.openTasks == 0 || !j.isReady(s) {
 			continue
 		}
 		for _, t := range s.tasks {
-			if t.state != taskWaiting || t.blocked() {
+			if t.state != taskWaiting || t.isBlocked() {
 				continue
 			}
 			c.planTask(&p, t)
-			if limit > 0 && p.cut(limit) {
+			if limit > 0 && p.dropLastOverLimit(limit) {
 				break
 			}
 		}
@@ -78,14 +81,15 @@
 	return p
 }
 
-// cut leaves the last place out if its wait is over the limit.
-func (p *plan) cut(limit time.Duration) bool {
-	last := len(p.places) - 1
-	if last < 0 || p.places[last].wait <= limit {
+// dropLastOverLimit removes the last placement if its wait exceeds the limit. It reports whether it
+// did.
+func (p *plan) dropLastOverLimit(limit time.Duration) bool {
+	last := len(p.placements) - 1
+	if last < 0 || p.placements[last].wait <= limit {
 		return false
 	}
-	p.places = p.places[:last]
-	p.held = true
+	p.placements = p.placements[:last]
+	p.truncated = true
 	return true
 }
 
@@ -94,69 +98,72 @@
 
 func (c *Core) appendCandidates(list []*agent, service string) []*agent {
 	for a := range c.agents.Values() {
-		if a.worker.Service == service && a.usable(c.now, c.settings.SilentAfter) && !c.drains.Has(a.worker.DataCentre) {
+		if a.worker.Service == service && a.isUsable(c.now, c.settings.SilentAfter) && !c.drains.Has(a.worker.DataCentre) {
 			list = append(list, a)
 		}
 	}
 	return list
 }
 
-// trialOf returns what the present plan has put on an agent.
-func (c *Core) trialOf(a *agent) *trial {
-	if a.plan != c.plans {
-		a.plan = c.plans
-		a.trial = trial{}
+// plannedLoadOf returns what the current plan has assigned to an agent.
+func (c *Core) plannedLoadOf(a *agent) *plannedLoad {
+	if a.plannedIn != c.planCount {
+		a.plannedIn = c.planCount
+		a.planned = plannedLoad{}
 	}
-	return &a.trial
+	return &a.planned
 }
 
+// planTask adds the placement of a task with the lowest cost to a plan. Equal costs are decided by
+// the free CPU.
 func (c *Core) planTask(p *plan, t *task) {
-	if c.lastRoom(t) || c.awaitsWord(t) {
+	if c.takesLastWorker(t) || c.awaitsCrashReport(t) {
 		p.missing++
 		return
 	}
 	var best *agent
 	var bestWait, bestRun, bestCost time.Duration
 	var bestFree int
-	for _, a := range c.usable {
-		tr := c.trialOf(a)
-		if !c.allowed(t, a, tr) {
+	for _, a := range c.planCandidates {
+		planned := c.plannedLoadOf(a)
+		if !c.isAllowed(t, a, planned) {
 			continue
 		}
-		free := c.free(a, p.slack).Minus(tr.used)
+		free := c.freeResources(a, p.slack).Minus(planned.resources)
 		wait := c.waitFor(a, free, t.step.Need)
 		run := c.runTime(a, t)
 		cost := c.cost(a, t, wait, run)
-		room := c.spread(free.CPU)
-		if best == nil || cost < bestCost || cost == bestCost && room > bestFree {
-			best, bestWait, bestRun, bestCost, bestFree = a, wait, run, cost, room
+		jitteredFreeCPU := c.jitterCPU(free.CPU)
+		if best == nil || cost < bestCost || cost == bestCost && jitteredFreeCPU > bestFree {
+			best, bestWait, bestRun, bestCost, bestFree = a, wait, run, cost, jitteredFreeCPU
 		}
 	}
 	if best == nil {
 		p.missing++
 		return
 	}
-	c.trialOf(best).add(t.step)
-	p.places = append(p.places, place{task: t, agent: best, wait: bestWait, run: bestRun})
+	c.plannedLoadOf(best).add(t.step)
+	p.placements = append(p.placements, placement{task: t, agent: best, wait: bestWait, run: bestRun})
 	p.delay = max(p.delay, bestWait)
 	p.finish = max(p.finish, bestWait+bestRun)
 	p.age = max(p.age, c.now.Sub(best.loadAt))
 }
 
-// spread varies the free room by which equal workers are told apart, by up to a
-// half. Otherwise all entries would choose the same worker until they hear of
-// each other's choice.
-func (c *Core) spread(cpu int) int {
+// jitterCPU randomly increases the free CPU by which equal workers are compared, by less than a
+// factor of two. Otherwise all entries would choose the same worker until they see the effect of
+// each other's choices.
+func (c *Core) jitterCPU(cpu int) int {
 	if !c.settings.Policy.Has(policy.Spread) {
 		return cpu
 	}
-	return cpu * (spreadParts + c.rand.IntN(spreadParts)) / spreadParts
+	return cpu * (jitterSteps + c.rand.IntN(jitterSteps)) / jitterSteps
 }
 
-const spreadParts = 100
+// jitterSteps is the number of different random factors.
+const jitterSteps = 100
 
-// allowed reports whether a task may run on an agent's worker at all.
-func (c *Core) allowed(t *task, a *agent, tr *trial) bool {
+// isAllowed reports whether a task may run on an agent's worker, whatever the wait.
+func (c *Core) isAllowed(t *task, a *agent, planned *plannedLoad) bool {
 	s := t.step
 	if !a.worker.Capacity.Fits(s.Need) {
 		return false
@@ -164,23 +171,24 @@
 	if s.Requires != "" && !slices.Contains(a.worker.Labels, s.Requires) {
 		return false
 	}
-	if s.AntiAffinity > 0 && tr.count[s]+c.placedOn(s, a.link) >= s.AntiAffinity {
+	if s.AntiAffinity > 0 && planned.tasksByStep[s]+c.countPlacedOn(s, a.link) >= s.AntiAffinity {
 		return false
 	}
-	return !c.shunned(a, tr)
+	return !c.isEjected(a, planned)
 }
 
-func (c *Core) placedOn(s *step, id LinkID) int {
+// countPlacedOn returns the number of tasks of a step with a run at an agent.
+func (c *Core) countPlacedOn(s *step, id LinkID) int {
 	n := 0
 	for _, t := range s.tasks {
-		if t.state == taskPlaced && t.on == id {
+		if t.state == taskPlaced && t.link == id {
 			n++
 		}
 	}
 	return n
 }
 
-// waitFor returns the expected time until an agent has room for a task.
+// waitFor returns the expected time until an agent's worker has free resources for a task.
 func (c *Core) waitFor(a *agent, free room.Room, need room.Room) time.Duration {
 	if free.Fits(need) {
 		return 0
@@ -189,26 +197,28 @@
 	cpu := free.CPU
 	last := time.Duration(0)
 	for _, f := range a.load.Freeings {
-		last = max(time.Duration(f.After)*time.Millisecond-age, minWait)
+		last = max(time.Duration(f.After)*time.Millisecond-age, minResourceWait)
 		cpu += f.CPU
 		if cpu >= need.CPU {
 			return last
 		}
 	}
-	// Beyond the reported ends: room frees at the rate at which those freed it.
+	// Beyond the reported completions, CPU is assumed to become free at the rate at which they
+	// freed it.
 	freed := max(cpu-free.CPU, need.CPU)
 	missing := need.CPU - cpu
-	return max(last, minWait) + time.Duration(float64(max(last, unknownWait))*float64(missing)/float64(freed))
+	return max(last, minResourceWait) + time.Duration(float64(max(last, defaultResourceWait))*float64(missing)/float64(freed))
 }
 
 const (
-	// minWait is the shortest wait for room that is not free by the newest load.
-	minWait = 2 * time.Millisecond
-	// unknownWait stands for the time to free room where no end is reported.
-	unknownWait = 100 * time.Millisecond
+	// minResourceWait is the shortest expected wait for resources that the newest load report does
+	// not show as free.
+	minResourceWait = 2 * time.Millisecond
+	// defaultResourceWait is the assumed time to free resources if no completion is reported.
+	defaultResourceWait = 100 * time.Millisecond
 )
 
-// runTime returns the expected run time of a task at an agent's worker.
+// runTime returns the expected run time of a task on an agent's worker.
 func (c *Core) runTime(a *agent, t *task) time.Duration {
 	run := time.Duration(float64(t.step.estimate) * c.relativeSlowness(a))
 	if t.step.DataRack != "" && !slices.Contains(a.worker.Labels, t.step.DataRack) {
@@ -217,118 +227,121 @@
 	return run
 }
 
-// cost is what the choice of a worker is judged by: the expected time to the
-// end. Workers on which the task has failed before come last.
+// cost returns the value by which workers are compared for a task, lower being better: the expected
+// time to the end plus penalties. Workers on which the task has failed come last.
 func (c *Core) cost(a *agent, t *task, wait, run time.Duration) time.Duration {
-	cost := c.likelyWait(wait) + run + c.beside(a, t)
+	cost := c.correctedWait(wait) + run + c.colocationCost(a, t)
 	if a.worker.DataCentre != c.settings.DataCentre {
 		cost += c.settings.CrossCost
 	}
 	if t.failedOn[a.worker.ID] > 0 {
-		cost += failedBeforeCost
+		cost += earlierFailureCost
 	}
 	if c.settings.Policy.Has(policy.RefusedBefore) {
-		cost += time.Duration(t.refusedBy[a.worker.ID]) * refusedBeforeCost
+		cost += time.Duration(t.refusedBy[a.worker.ID]) * earlierRefusalCost
 	}
 	return cost
 }
 
-// failedBeforeCost keeps a task away from a worker on which it failed, unless
-// there is no other.
-const failedBeforeCost = 10 * time.Second
+// earlierFailureCost keeps a task away from a worker on which it failed, unless there is no other.
+const earlierFailureCost = 10 * time.Second
 
-// refusedBeforeCost makes a task try other workers after a refusal, which the
-// newest load may not explain.
-const refusedBeforeCost = 50 * time.Millisecond
+// earlierRefusalCost makes a task try other workers after a refusal, the reason of which may not
+// show in the newest load report.
+const earlierRefusalCost = 50 * time.Millisecond
 
-// carryOut sends the starts of a plan.
-func (c *Core) carryOut(p plan) {
-	for _, pl := range p.places {
-		c.start(pl)
+// startPlan sends the starts of a plan.
+func (c *Core) startPlan(p plan) {
+	for _, pl := range p.placements {
+		c.startTask(pl)
 	}
 }
 
-func (c *Core) start(pl place) {
+// startTask sends the start of a task to its agent.
+func (c *Core) startTask(pl placement) {
 	t, a, j := pl.task, pl.agent, pl.task.job
 	t.run++
-	if t.taken {
-		t.run += oldRunStep
-		t.taken = false
+	if t.takenOver {
+		t.run += runNumberGap
+		t.takenOver = false
 	}
 	t.state = taskPlaced
-	t.on = a.link
+	t.link = a.link
 	t.agent = a.worker.Agent
 	t.worker = a.worker.ID
 	t.sentAt = c.now
 	t.expected = pl.wait + pl.run
 	t.expectedWait = pl.wait
-	a.sent++
-	a.runs++
-	a.inFlight = append(a.inFlight, start{seq: a.sent, need: t.step.Need})
-	if c.unsound(a) {
+	a.startsSent++
+	a.runCount++
+	a.inFlight = append(a.inFlight, inFlightStart{seq: a.startsSent, need: t.step.Need})
+	if c.isUnhealthy(a) {
 		a.probedAt = c.now
 	}
 	a.out.Starts = append(a.out.Starts, runs.Start{
 		Key: t.key(), Spec: j.spec, Need: t.step.Need, Estimate: t.step.estimate,
-		Slack: j.slackLeft(c.now), Patience: c.patience(j), Checkpoint: t.checkpoint, Durable: j.durable != nil,
-		Suspicion: t.suspicion(),
+		Slack: j.slackLeft(c.now), Patience: c.startTimeout(j), Checkpoint: t.checkpoint, Durable: j.durable != nil,
+		Suspicion: t.isolation(),
 	})
-	c.mark(a)
-	c.note(Note{
+	c.markDirty(a)
+	c.logDecision(Note{
 		Event: "start", Job: j.name, Queue: j.queue.Name, Version: j.version, Key: t.key(), Worker: a.worker.ID,
 		Age: c.now.Sub(a.loadAt), Expected: t.expected, Wait: pl.wait, Slack: j.slackLeft(c.now),
 	})
 }
 
-// slackLeft is how long the tasks of a job may still wait so that it ends within
-// its objective.
+// slackLeft returns how long the tasks of a job may still wait so that it meets its objective, or
+// ends while its answer is useful if it was started past its objective.
 func (j *job) slackLeft(now time.Time) time.Duration {
-	if j.late {
-		return deferredSlack + j.slackTo(lateFactor*j.objective, now)
+	if j.pastObjective {
+		return deferredSlack + j.slackWithin(usefulFactor*j.objective, now)
 	}
-	return j.slackTo(j.objective, now)
+	return j.slackWithin(j.objective, now)
 }
 
-// slackTo is how long the tasks of a job may wait so that it ends within a time.
-func (j *job) slackTo(objective time.Duration, now time.Time) time.Duration {
-	return objective - j.chain() - now.Sub(j.arrived)
+// slackWithin returns how long the tasks of a job may still wait so that it ends within the given
+// time from its arrival.
+func (j *job) slackWithin(objective time.Duration, now time.Time) time.Duration {
+	return objective - j.criticalPath() - now.Sub(j.arrived)
 }
 
-// patience is how long a run of a job may wait for its start.
-func (c *Core) patience(j *job) time.Duration {
+// startTimeout returns how long a run of a job may wait for its start.
+func (c *Core) startTimeout(j *job) time.Duration {
 	if j.durable != nil {
-		return durablePatience
+		return durableStartTimeout
 	}
-	return min(j.deadline.Sub(c.now), lateFactor*j.objective-c.now.Sub(j.arrived))
+	return min(j.deadline.Sub(c.now), usefulFactor*j.objective-c.now.Sub(j.arrived))
 }
 
-// lateFactor times its objective is when a job's answer has lost its use.
-const lateFactor = 3
+// usefulFactor times the objective is the time from arrival after which the answer of a job is no
+// longer useful.
+const usefulFactor = 3
 
-// placeJob places the tasks of a job that wait, or gives the job up.
+// placeJob places the waiting tasks of a job, or gives up an awaited job that is no longer useful.
 func (c *Core) placeJob(j *job) {
 	if j.ended || j.deferred {
 		return
 	}
-	if !j.hasWaiting() {
+	if !j.hasWaitingTask() {
 		return
 	}
 	if j.durable != nil {
 		c.placeDurable(j)
 		return
 	}
-	if c.patience(j) <= 0 {
+	if c.startTimeout(j) <= 0 {
 		c.giveUp(j, outOfTime, "no time left")
 		return
 	}
-	c.carryOut(c.planJob(j))
+	c.startPlan(c.planJob(j))
 }
 
-// placeWaiting places waiting tasks of all jobs, the most urgent jobs first.
+// placeWaiting places the waiting tasks of all jobs: awaited jobs in order of arrival, then
+// deferred and durable ones.
 func (c *Core) placeWaiting() {
 	var waiting []*job
 	for j := range c.jobs.Values() {
-		if !j.ended && !j.deferred && j.durable == nil && j.hasWaiting() {
+		if !j.ended && !j.deferred && j.durable == nil && j.hasWaitingTask() {
 			waiting = append(waiting, j)
 		}
 	}
@@ -340,10 +353,11 @@
 	c.placeBacklog()
 }
 
-func (j *job) hasWaiting() bool {
+// hasWaitingTask reports whether a task that may start has no run.
+func (j *job) hasWaitingTask() bool {
 	for i := range j.steps {
 		s := &j.steps[i]
-		if s.left == 0 || !j.ready(s) {
+		if s.openTasks == 0 || !j.isReady(s) {
 			continue
 		}
 		for _, t := range s.tasks {
--- a/core/batch/record.go
+++ b/core/batch/record.go
@@ -6,93 +6,94 @@
 	"peridotpick.example/wire/runs"
 )
 
-// TaskProgress is what is known of one task. Tasks without one have not begun.
+// TaskProgress is the stored progress of one task. Tasks without it have not begun.
 type TaskProgress struct {
 	Step  int  `cbor:"1,keyasint"`
 	Index int  `cbor:"2,keyasint"`
 	Done  bool `cbor:"3,keyasint,omitempty"`
-	// Failures is the number of runs that failed.
+	// Failures is the number of failed runs.
 	Failures int `cbor:"4,keyasint,omitempty"`
-	// Run is the number of the newest run whose end counted.
+	// Run is the number of the newest run whose end was handled.
 	Run uint32 `cbor:"5,keyasint,omitempty"`
-	// Abandoned is the newest run that was lost from sight: it does not count, however
-	// it may have ended.
+	// Abandoned is the number of the newest run whose outcome is unknown. Its end does not count.
 	Abandoned uint32 `cbor:"7,keyasint,omitempty"`
-	// Checkpoint resumes the task.
+	// Checkpoint is where the next run resumes.
 	Checkpoint string `cbor:"6,keyasint,omitempty"`
-	// Lost counts the workers that were lost under the task, Blamed the crashes that are
-	// put down to it.
+	// Lost is the number of workers lost while they ran the task, Blamed the number of crashes
+	// attributed to it.
 	Lost   int `cbor:"8,keyasint,omitempty"`
 	Blamed int `cbor:"9,keyasint,omitempty"`
-	// Lapsed counts the workers that went silent under the task and may have crashed.
+	// Lapsed is the number of workers that stopped answering while they ran the task and may have
+	// crashed.
 	Lapsed int `cbor:"10,keyasint,omitempty"`
 }
 
-// Record is what the store shall keep of a job from now on.
+// Record is the progress of a job to be stored.
 type Record struct {
 	Job string
-	// Seq numbers the job's records.
+	// Seq numbers the records of the job.
 	Seq      uint64
 	State    JobState
 	Progress []TaskProgress
 }
 
-// Unowned is an end of a job that is not here. The owner of the list of durable
-// jobs decides whether its agent may forget it.
+// Unowned is a held end of a job that is not here. The owner of the list of durable jobs decides
+// whether the agent may forget it.
 type Unowned struct {
 	Link LinkID
 	End  runs.End
 }
 
-// dueNote is an end that an agent keeps.
-type dueNote struct {
+// pendingAck is an end that its agent holds until it is acknowledged. seq is the number of the
+// record that contains it; 0 if none was emitted yet.
+type pendingAck struct {
 	seq   uint64
 	agent string
 	key   runs.Key
 }
 
 const (
-	// recordEvery is the shortest time between two records of a job that goes on, so
-	// that the ends of a job's like tasks share one write to the store.
-	recordEvery = 150 * time.Millisecond
-	// recordBegin is the time after which the begin of a job is recorded, if nothing
-	// else of it was: most jobs are over by then and need one write less.
-	recordBegin = time.Second
+	// recordInterval is the shortest time between two records of a running job, so that the ends of
+	// its tasks share a write to the store.
+	recordInterval = 150 * time.Millisecond
+	// beginRecordDelay is the time after which the start of a job is recorded if nothing else of it
+	// was. Most jobs are over by then and need one write less.
+	beginRecordDelay = time.Second
 )
 
-// restore takes what the store has of a task.
-func (j *job) restore(now time.Time, p *TaskProgress) {
+// restoreTask restores the stored progress of a task.
+func (j *job) restoreTask(now time.Time, p *TaskProgress) {
 	if p.Step >= len(j.steps) || p.Index >= len(j.steps[p.Step].tasks) {
 		return
 	}
 	s := &j.steps[p.Step]
 	t := s.tasks[p.Index]
-	t.failures, t.run, t.counted, t.checkpoint = p.Failures, p.Run, p.Run, p.Checkpoint
-	t.abandoned = p.Abandoned
-	t.lost, t.blamed = p.Lost, p.Blamed
-	t.restoreLapsed(now, p.Lapsed)
+	t.failures, t.run, t.newestHandledRun, t.checkpoint = p.Failures, p.Run, p.Run, p.Checkpoint
+	t.abandonedRun = p.Abandoned
+	t.lostWorkers, t.blamedCrashes = p.Lost, p.Blamed
+	t.restoreSilentRuns(now, p.Lapsed)
 	if p.Run > 0 {
-		t.handled = map[uint32]bool{p.Run: true}
+		t.handledRuns = map[uint32]bool{p.Run: true}
 	}
 	j.durable.state = JobRunning
 	if p.Done && t.state != taskDone {
 		t.state = taskDone
-		s.left--
-		j.left--
+		s.openTasks--
+		j.openTasks--
 	}
 }
 
-// progress returns what is known of a job's tasks.
+// progress returns the progress of all tasks that have any.
 func (j *job) progress() []TaskProgress {
 	var list []TaskProgress
 	for i := range j.steps {
 		for n, t := range j.steps[i].tasks {
-			if t.counted == 0 && t.abandoned == 0 {
+			if t.newestHandledRun == 0 && t.abandonedRun == 0 {
 				continue
 			}
 			p := TaskProgress{
-				Step: i, Index: n, Done: t.state == taskDone, Failures: t.failures, Run: t.counted, Abandoned: t.abandoned,
-				Lost: t.lost, Blamed: t.blamed, Lapsed: len(t.lapsed),
+				Step: i, Index: n, Done: t.state == taskDone, Failures: t.failures, Run: t.newestHandledRun, Abandoned: t.abandonedRun,
+				Lost: t.lostWorkers, Blamed: t.blamedCrashes, Lapsed: len(t.silentRuns),
 			}
 			if !p.Done {
 				p.Checkpoint = t.checkpoint
@@ -103,19 +104,19 @@
 	return list
 }
 
-// changed has a record of the job stored within a time.
-func (c *Core) changed(j *job, within time.Duration) {
+// scheduleRecord schedules a record of the job within the given time.
+func (c *Core) scheduleRecord(j *job, delay time.Duration) {
 	d := j.durable
-	at := c.now.Add(within)
-	if !d.changed || at.Before(d.recordAt) {
+	at := c.now.Add(delay)
+	if !d.unrecorded || at.Before(d.recordAt) {
 		d.recordAt = at
 	}
-	d.changed = true
+	d.unrecorded = true
 	c.unrecorded.Put(j.name, j)
 }
 
-// record emits the records that are due.
-func (c *Core) record() {
+// emitRecords adds the records that are due to the output.
+func (c *Core) emitRecords() {
 	for name, j := range c.unrecorded.All() {
 		d := j.durable
 		if d.disowned || d.state == JobCancelled {
@@ -127,171 +128,174 @@
 		}
 		c.unrecorded.Delete(name)
 		d.seq++
-		d.changed = false
-		for i := range d.due {
-			if d.due[i].seq == 0 {
-				d.due[i].seq = d.seq
+		d.unrecorded = false
+		for i := range d.pendingAcks {
+			if d.pendingAcks[i].seq == 0 {
+				d.pendingAcks[i].seq = d.seq
 			}
 		}
 		c.out.Records = append(c.out.Records, Record{Job: name, Seq: d.seq, State: d.state, Progress: j.progress()})
 	}
 }
 
-// Recorded handles that the store has a record.
+// Recorded handles that a record is stored.
 func (c *Core) Recorded(now time.Time, name string, seq uint64) {
-	c.Now(now)
+	c.Advance(now)
 	j := c.jobs.Get(name)
 	if j == nil || j.durable == nil || j.durable.disowned {
 		return
 	}
-	j.durable.stored = max(j.durable.stored, seq)
+	j.durable.storedSeq = max(j.durable.storedSeq, seq)
 	if !j.ended {
-		c.placeJob(j) // tasks may have waited for it
+		c.placeJob(j) // tasks may have waited for the record
 	}
-	if j.durable.state.Ended() && j.durable.stored == j.durable.seq {
-		j.durable.forgetAt = now.Add(retainEnded)
+	if j.durable.state.Ended() && j.durable.storedSeq == j.durable.seq {
+		j.durable.forgetAt = now.Add(endedRetention)
 	}
-	c.noteDue(j)
+	c.ackStoredEnds(j)
 }
 
-// noteDue tells agents of the ends that are stored. An agent without a link tells
-// them again when it is back.
-func (c *Core) noteDue(j *job) {
+// ackStoredEnds acknowledges ends whose record is stored, and all ends of a cancelled job. An agent
+// without a link reports them again when it reconnects.
+func (c *Core) ackStoredEnds(j *job) {
 	d := j.durable
-	var still []dueNote
-	for _, n := range d.due {
-		if d.state != JobCancelled && (n.seq == 0 || n.seq > d.stored) {
-			still = append(still, n)
+	var unstored []pendingAck
+	for _, ack := range d.pendingAcks {
+		if d.state != JobCancelled && (ack.seq == 0 || ack.seq > d.storedSeq) {
+			unstored = append(unstored, ack)
 			continue
 		}
 		for a := range c.agents.Values() {
-			if a.worker.Agent == n.agent {
-				c.noteEnds(a, n.key)
+			if a.worker.Agent == ack.agent {
+				c.ackEnds(a, ack.key)
 			}
 		}
 	}
-	d.due = still
+	d.pendingAcks = unstored
 }
 
-// noteEnds tells an agent that the ends of runs are stored.
-func (c *Core) noteEnds(a *agent, keys ...runs.Key) {
+// ackEnds tells an agent that the ends of runs are stored.
+func (c *Core) ackEnds(a *agent, keys ...runs.Key) {
 	a.out.Noted = append(a.out.Noted, keys...)
-	c.mark(a)
+	c.markDirty(a)
 }
 
-// Settle answers an agent about ends of jobs that are not here.
-func (c *Core) Settle(now time.Time, id LinkID, noted, void []runs.Key) {
-	c.Now(now)
+// Settle acknowledges ends of jobs that are not here to an agent, or tells it that they are void.
+func (c *Core) Settle(now time.Time, id LinkID, acknowledged, void []runs.Key) {
+	c.Advance(now)
 	a := c.agents.Get(id)
 	if a == nil {
 		return
 	}
-	c.noteEnds(a, noted...)
+	c.ackEnds(a, acknowledged...)
 	a.out.Void = append(a.out.Void, void...)
 }
 
-// endTold handles an end as an agent tells it.
-func (c *Core) endTold(a *agent, end runs.End) {
+// receiveEnd handles an end reported by an agent.
+func (c *Core) receiveEnd(a *agent, end runs.End) {
 	t := c.byTask[end.Key.Task]
 	switch {
 	case t != nil && t.job.durable == nil && t.agent != a.worker.Agent:
-		// Of another entry, or a former process of this one, that had the same job:
-		// runs are numbered from 1 by each. Taken for the present run's end it would
-		// have the task start again beside it.
+		// The run belongs to another entry, or a previous process of this one, that had the same
+		// job. Each numbers the runs from 1. If the end were taken for that of the current run, the
+		// task would start a second time beside it.
 		if end.Held {
-			c.noteEnds(a, end.Key)
+			c.ackEnds(a, end.Key)
 		}
 	case !end.Held:
-		c.endOf(a.worker.ID, end)
+		c.handleEnd(a.worker.ID, end)
 	case t == nil:
 		c.out.Unowned = append(c.out.Unowned, Unowned{Link: a.link, End: end})
 	case t.job.durable == nil:
-		c.endOf(a.worker.ID, end)
-		c.noteEnds(a, end.Key)
+		c.handleEnd(a.worker.ID, end)
+		c.ackEnds(a, end.Key)
 	default:
-		c.durableEnd(a, t, end)
+		c.receiveDurableEnd(a, t, end)
 	}
 }
 
-// durableEnd handles an end that its agent keeps until it is stored.
-func (c *Core) durableEnd(a *agent, t *task, end runs.End) {
+// receiveDurableEnd handles a held end of a durable job.
+func (c *Core) receiveDurableEnd(a *agent, t *task, end runs.End) {
 	d := t.job.durable
 	current := t.state == taskPlaced && t.run == end.Key.Run
-	// unstarted tasks have no later run: the end is news of a run that was lost
-	// from sight, or that a former owner started.
-	unstarted := t.state == taskWaiting && end.Key.Run >= t.run && end.Key.Run > t.abandoned
+	// The task has no later run. The end belongs to a run whose outcome was unknown, or that a
+	// previous owner started.
+	hasNoLaterRun := t.state == taskWaiting && end.Key.Run >= t.run && end.Key.Run > t.abandonedRun
 	switch {
-	case t.handled[end.Key.Run]:
-		if !d.isDue(end.Key) && !d.disowned {
-			c.noteEnds(a, end.Key)
+	case t.handledRuns[end.Key.Run]:
+		if !d.isAckPending(end.Key) && !d.disowned {
+			c.ackEnds(a, end.Key)
 		}
 		return
 	case current:
 	case d.disowned:
 		return
-	case unstarted:
-		c.place(t, a, end.Key.Run)
+	case hasNoLaterRun:
+		c.adoptRun(t, a, end.Key.Run)
 	case end.How == runs.Done || end.How == runs.Failed:
 		a.out.Void = append(a.out.Void, end.Key)
-		c.mark(a)
+		c.markDirty(a)
 		return
 	default:
-		c.noteEnds(a, end.Key)
+		c.ackEnds(a, end.Key)
 		return
 	}
 	if !d.disowned {
-		t.handle(end)
-		d.due = append(d.due, dueNote{agent: a.worker.Agent, key: end.Key})
+		t.markHandled(end)
+		d.pendingAcks = append(d.pendingAcks, pendingAck{agent: a.worker.Agent, key: end.Key})
 	}
-	c.endOf(a.worker.ID, end)
+	c.handleEnd(a.worker.ID, end)
 	if d.disowned {
 		return
 	}
 	if d.state == JobCancelled {
-		c.noteDue(t.job)
+		c.ackStoredEnds(t.job)
 		return
 	}
-	c.changed(t.job, recordEvery)
+	c.scheduleRecord(t.job, recordInterval)
 }
 
-// abandon has the store say that a run which was lost from sight does not count.
-// The task waits for that: should this entry lose the job now, the next one would
-// otherwise believe the run's end beside the start that follows here.
-func (c *Core) abandon(t *task, run uint32) {
-	t.abandoned = max(t.abandoned, run)
-	t.blockedBy = t.job.durable.seq + 1 // the next record
-	c.changed(t.job, 0)
+// abandonRun records that a run whose outcome is unknown does not count. The task waits until the
+// record is stored. Otherwise, if this entry lost the job now, the next owner would accept the
+// run's end although the task was started again.
+func (c *Core) abandonRun(t *task, run uint32) {
+	t.abandonedRun = max(t.abandonedRun, run)
+	t.blockingRecord = t.job.durable.seq + 1 // the next record
+	c.scheduleRecord(t.job, 0)
 }
 
-// blocked reports whether a task waits for a record to be stored.
-func (t *task) blocked() bool { return t.job.durable != nil && t.blockedBy > t.job.durable.stored }
+// isBlocked reports whether a task waits for a record to be stored.
+func (t *task) isBlocked() bool {
+	return t.job.durable != nil && t.blockingRecord > t.job.durable.storedSeq
+}
 
-// handle remembers that the end of a run was taken.
-func (t *task) handle(end runs.End) {
-	if t.handled == nil {
-		t.handled = make(map[uint32]bool)
+// markHandled remembers that the end of a run was handled, with its checkpoint.
+func (t *task) markHandled(end runs.End) {
+	if t.handledRuns == nil {
+		t.handledRuns = make(map[uint32]bool)
 	}
-	t.handled[end.Key.Run] = true
-	t.counted = max(t.counted, end.Key.Run)
+	t.handledRuns[end.Key.Run] = true
+	t.newestHandledRun = max(t.newestHandledRun, end.Key.Run)
 	if end.Checkpoint != "" {
 		t.checkpoint = end.Checkpoint
 	}
 }
 
-func (d *durable) isDue(key runs.Key) bool {
-	for _, n := range d.due {
-		if n.key == key {
+// isAckPending reports whether the end of a run is not acknowledged yet.
+func (d *durable) isAckPending(key runs.Key) bool {
+	for _, ack := range d.pendingAcks {
+		if ack.key == key {
 			return true
 		}
 	}
 	return false
 }
 
-// place takes a run that is at an agent as the task's present one.
-func (c *Core) place(t *task, a *agent, run uint32) {
-	t.state, t.run, t.taken = taskPlaced, run, false
-	t.on, t.agent, t.worker = a.link, a.worker.Agent, a.worker.ID
+// adoptRun makes a run at an agent the current run of a task.
+func (c *Core) adoptRun(t *task, a *agent, run uint32) {
+	t.state, t.run, t.takenOver = taskPlaced, run, false
+	t.link, t.agent, t.worker = a.link, a.worker.Agent, a.worker.ID
 	t.sentAt, t.expected, t.expectedWait = c.now, t.step.estimate, 0
 	t.stopping, t.moving = false, false
-	a.runs++
+	a.runCount++
 }
--- a/core/batch/yield_test.go
+++ b/core/batch/yield_test.go
@@ -11,32 +11,33 @@
 	"peridotpick.example/wire/runs"
 )
 
-// TestUrgentQueueIsNotRefusedMoreThanOthers replays a burst with all room taken:
-// urgent jobs of eight short tasks beside others of two longer ones.
+// TestUrgentQueueIsNotRefusedMoreThanOthers replays a burst with all capacity in use: urgent jobs
+// of eight short tasks beside others of two longer ones. Without yielding the urgent queue would
+// lose most.
 func TestUrgentQueueIsNotRefusedMoreThanOthers(t *testing.T) {
 	is := is.New(t)
 	urgent := &catalog.Queue{Name: "urgent", Service: "s", Priority: 0, MaxAttempts: 2, Stretch: 1.6, Target: 60 * time.Millisecond}
 	other := &catalog.Queue{Name: "other", Service: "s", Priority: 1, MaxAttempts: 2, Stretch: 1.6, Target: 60 * time.Millisecond}
-	r := newRig(t, 1)
+	h := newHarness(t, 1)
 	refused := map[string]int{}
 	id := 0
 	submit := func(now time.Time, q *catalog.Queue, tasks int, estimate time.Duration) {
 		id++
-		r.Submit(now, &Request{
+		h.Submit(now, &Request{
 			ID: RequestID(id), Job: jobName(id), Queue: q, Deadline: now.Add(1500 * time.Millisecond),
 			Steps: []Step{{Count: tasks, Need: need, Estimate: estimate}},
 		})
-		r.got = nil
-		r.flush(now)
-		if len(r.got) > 0 {
+		h.answers = nil
+		h.flush(now)
+		if len(h.answers) > 0 {
 			refused[q.Name]++
 		}
 	}
 	for ms := 0; ms < 2000; ms += 20 {
-		// A wait of 70 ms for whatever comes: over the slack of urgent jobs half of
-		// the time, never over that of the others.
+		// Every job would wait for 50 or 90 ms in turn, 70 ms on average: longer than the slack of
+		// urgent jobs half of the time, but never longer than that of the others.
 		wait := 50 + 40*(ms/20%2)
-		r.hear(after(ms), 0, func(m *runs.ToEntry) {
+		h.receiveReport(after(ms), 0, func(m *runs.ToEntry) {
 			m.Load.Free = room.Room{Memory: 100000}
 			m.Load.Freeings = []runs.Freeing{{After: wait, CPU: 8000}}
 		})
@@ -44,26 +45,26 @@
 		submit(after(ms), other, 2, 200*time.Millisecond)
 	}
 	is.True(refused["urgent"] > 0)
-	is.True(refused["other"] > refused["urgent"]/3) // without yielding it is 0
+	is.True(refused["other"] > refused["urgent"]/3) // 0 without yielding
 }
 
-func TestQueueYieldsOnlyWhileAMoreUrgentOneIsRefused(t *testing.T) {
+func TestQueueYieldsOnlyWhileAMoreUrgentOneLosesJobs(t *testing.T) {
 	is := is.New(t)
 	urgent := &catalog.Queue{Name: "u", Service: "s", Priority: 0}
 	other := &catalog.Queue{Name: "o", Service: "s", Priority: 1}
 	apart := &catalog.Queue{Name: "a", Service: "t", Priority: 1}
-	y := newYielding()
+	y := newLossTracker()
 	for range 20 {
-		y.of(begin, urgent).offered++
-		y.of(begin, urgent).lost++
-		y.of(begin, other).offered++
+		y.forQueue(begin, urgent).offered++
+		y.forQueue(begin, urgent).lost++
+		y.forQueue(begin, other).offered++
 	}
-	is.True(!y.givesWay(begin, urgent))
-	is.True(!y.givesWay(begin, apart))
-	is.True(y.givesWay(begin, other))
-	is.True(!y.givesWay(begin.Add(10*time.Second), other)) // losses of long ago do not count
+	is.True(!y.mustYield(begin, urgent))
+	is.True(!y.mustYield(begin, apart))
+	is.True(y.mustYield(begin, other))
+	is.True(!y.mustYield(begin.Add(10*time.Second), other)) // old losses do not count
 	for range 20 {
-		y.of(begin, other).lost++
+		y.forQueue(begin, other).lost++
 	}
-	is.True(!y.givesWay(begin, other)) // it bears as much itself
+	is.True(!y.mustYield(begin, other)) // its own losses are as high
 }
