--- a/core/batch/agents.go
+++ b/core/batch/agents.go
@@ -55,13 +55,14 @@
 	runsOverAt time.Time
 }
 
-// isUsable reports whether an agent may be given runs.
-func (a *agent) isUsable(now time.Time, silentAfter time.Duration) bool {
-	return a.registered && a.worker.ID != "" && !a.worker.Draining && !a.worker.Released && now.Sub(a.lastReceivedAt) < silentAfter
+// isUsable reports whether an agent may be given runs: its worker accepts runs, and it has sent a
+// message within silenceTimeout.
+func (a *agent) isUsable(now time.Time, silenceTimeout time.Duration) bool {
+	return a.registered && a.worker.ID != "" && !a.worker.Draining && !a.worker.Released && now.Sub(a.lastReceivedAt) < silenceTimeout
 }
 
-// sharers returns the number of entries that an agent works with, this one included.
-func (a *agent) sharers() int { return max(a.load.Sharers, 1) }
+// sharingEntries returns the number of entries that an agent works with, this one included.
+func (a *agent) sharingEntries() int { return max(a.load.Sharers, 1) }
 
 // freeResources returns the resources that an agent's worker probably has for a run with the given
 // slack: without the runs at the worker, starts in flight and waiting runs that go first.
--- a/core/batch/backlog.go
+++ b/core/batch/backlog.go
@@ -83,9 +83,9 @@
 	noLongerUseful
 )
 
-// uselessFirstPeriod is the period, in scans, of the scans in which jobs that are no longer useful
+// noLongerUsefulPeriod is the period, in scans, of the scans in which jobs that are no longer useful
 // count like those that meet their objective, so that they make progress under a lasting overload.
-const uselessFirstPeriod = 8
+const noLongerUsefulPeriod = 8
 
 // usefulnessOf returns the usefulness of a job for the current scan.
 func (c *Core) usefulnessOf(j *job) usefulness {
@@ -95,7 +95,7 @@
 	case slack >= -(usefulFactor-1)*j.objective:
 		return stillUseful
 	}
-	if c.backlogScans%uselessFirstPeriod == 0 {
+	if c.backlogScans%noLongerUsefulPeriod == 0 {
 		return meetsObjective
 	}
 	return noLongerUseful
--- a/core/batch/core.go
+++ b/core/batch/core.go
@@ -130,13 +130,15 @@
 	Answers []Answer
 	// Closes lists links to close because the agent has opened another one.
 	Closes []LinkID
-	Notes  []Note
+	// Notes lists the decisions in order.
+	Notes []Note
 	// Records are to be stored in this order.
 	Records []Record
 	// Disowned lists durable jobs that were given up because the entry's ownership of them is no
 	// longer confirmed.
 	Disowned []string
-	Unowned  []Unowned
+	// Unowned lists held ends of jobs that are not here.
+	Unowned []Unowned
 	// Suspects lists tasks suspected of crashing workers, to be sent to the other entries.
 	Suspects []runs.Suspect
 }
@@ -295,4 +297,5 @@
 	return n
 }
 
+// logDecision adds a decision to the output.
 func (c *Core) logDecision(n Note) { c.out.Notes = append(c.out.Notes, n) }
--- a/core/batch/crash.go
+++ b/core/batch/crash.go
@@ -117,37 +117,37 @@
 	c.giveUpIfOverCrashLimit(t)
 }
 
-// handleSilentWorker handles the end of a run whose worker stopped answering and may have crashed.
-// The worker may also be cut off from the network, so its loss makes the task a suspect, but does
-// not fail the job unless a crash is reported later.
-func (c *Core) handleSilentWorker(t *task, worker string, end runs.End) {
-	if t.silentRuns == nil {
-		t.silentRuns = make(map[uint32]time.Time)
+// handleUnreachableWorker handles the end of a run whose worker became unreachable and may have
+// crashed. As the worker may also be cut off from the network, the task only becomes a suspect; the
+// job does not fail unless a crash is reported later.
+func (c *Core) handleUnreachableWorker(t *task, worker string, end runs.End) {
+	if t.unreachableRuns == nil {
+		t.unreachableRuns = make(map[uint32]time.Time)
 	}
-	t.silentRuns[end.Key.Run] = c.now
+	t.unreachableRuns[end.Key.Run] = c.now
 	c.crashes.addLoss(c.now, t.job.name, t.worker)
 	c.reportLostWorker(t, worker, end)
 }
 
 // takeLateCrash reports whether a crash concerns an earlier run of a task and was not counted yet:
-// the worker stopped answering first, or another entry owned the job. It removes the run from the
-// silent ones.
+// the worker became unreachable first, or another entry owned the job. It removes the run from
+// unreachableRuns.
 func (t *task) takeLateCrash(run uint32) bool {
 	if t.crashedRuns[run] || t.state == taskPlaced && t.run == run {
 		return false
 	}
-	delete(t.silentRuns, run)
+	delete(t.unreachableRuns, run)
 	return true
 }
 
-// restoreSilentRuns restores the number of runs of a previous owner whose workers stopped
-// answering. The run numbers are not known but are lower than those of later runs.
-func (t *task) restoreSilentRuns(now time.Time, count int) {
+// restoreUnreachableRuns restores the given number of runs of a previous owner whose workers became
+// unreachable. The run numbers are not known but are lower than those of later runs.
+func (t *task) restoreUnreachableRuns(now time.Time, count int) {
 	for n := range count {
-		if t.silentRuns == nil {
-			t.silentRuns = make(map[uint32]time.Time)
+		if t.unreachableRuns == nil {
+			t.unreachableRuns = make(map[uint32]time.Time)
 		}
-		t.silentRuns[uint32(n)] = now
+		t.unreachableRuns[uint32(n)] = now
 	}
 }
 
@@ -176,25 +176,25 @@
 	return t.blamedCrashes >= min(blamedCrashLimit+others, lostWorkerLimit) || t.lostWorkers >= lostWorkerLimit
 }
 
-// awaitsCrashReport reports whether a task must wait until it is known whether silent workers have
-// crashed. With these it may have reached lostWorkerLimit. Silent runs older than
-// crashReportTimeout are dropped.
+// awaitsCrashReport reports whether a task must wait until it is known whether unreachable workers
+// have crashed. With these it may have reached lostWorkerLimit. Runs that have been unreachable for
+// longer than crashReportTimeout are dropped.
 func (c *Core) awaitsCrashReport(t *task) bool {
-	if t.lostWorkers+len(t.silentRuns) < lostWorkerLimit {
+	if t.lostWorkers+len(t.unreachableRuns) < lostWorkerLimit {
 		return false
 	}
-	for run, at := range t.silentRuns {
+	for run, at := range t.unreachableRuns {
 		if c.now.Sub(at) > crashReportTimeout {
-			delete(t.silentRuns, run)
+			delete(t.unreachableRuns, run)
 		}
 	}
-	return t.lostWorkers+len(t.silentRuns) >= lostWorkerLimit
+	return t.lostWorkers+len(t.unreachableRuns) >= lostWorkerLimit
 }
 
 // isolation returns which other tasks a task may run beside.
 func (t *task) isolation() runs.Suspicion {
 	switch {
-	case t.lostWorkers+len(t.silentRuns) >= 2:
+	case t.lostWorkers+len(t.unreachableRuns) >= 2:
 		return runs.Alone
 	case t.blamedCrashes > 0:
 		return runs.Apart
--- a/core/batch/crash_test.go
+++ b/core/batch/crash_test.go
@@ -121,10 +121,10 @@
 	next.is.Equal(state, JobFailed)
 }
 
-// TestDurableTaskDoesNotFailForSilentWorkers verifies that silent workers, which may have been cut
-// off, do not fail a job. Once its task may have had the allowed number of starts, it waits for a
-// crash report.
-func TestDurableTaskDoesNotFailForSilentWorkers(t *testing.T) {
+// TestDurableTaskDoesNotFailForUnreachableWorkers verifies that unreachable workers, which may have
+// been cut off, do not fail a job. Once its task may have had the allowed number of starts, it
+// waits for a crash report.
+func TestDurableTaskDoesNotFailForUnreachableWorkers(t *testing.T) {
 	h := newHarness(t, 4)
 	at, s := h.onlyStart(h.own(begin, 1, 1, nil))
 	sent := []runs.Key{s.Key}
--- a/core/batch/defer.go
+++ b/core/batch/defer.go
@@ -137,7 +137,7 @@
 func (c *Core) cpuShare(service string) float64 {
 	total := 0.0
 	for _, a := range c.candidates(service) {
-		total += float64(a.worker.Capacity.CPU) / float64(a.sharers())
+		total += float64(a.worker.Capacity.CPU) / float64(a.sharingEntries())
 	}
 	return total
 }
--- a/core/batch/ends.go
+++ b/core/batch/ends.go
@@ -71,7 +71,7 @@
 	case runs.Crashed:
 		c.handleWorkerCrash(t, worker, end)
 	case runs.Lapsed:
-		c.handleSilentWorker(t, worker, end)
+		c.handleUnreachableWorker(t, worker, end)
 	}
 	switch end.How {
 	case runs.Failed:
--- a/core/batch/health.go
+++ b/core/batch/health.go
@@ -70,7 +70,7 @@
 	if !c.isUnhealthy(a) || !c.settings.Policy.Has(policy.Probing) {
 		return false
 	}
-	return c.now.Sub(a.probedAt) < time.Duration(a.sharers())*probeInterval || planned.resources != (room.Room{})
+	return c.now.Sub(a.probedAt) < time.Duration(a.sharingEntries())*probeInterval || planned.resources != (room.Room{})
 }
 
 // isFailing reports whether a worker fails what it runs.
--- a/core/batch/job.go
+++ b/core/batch/job.go
@@ -84,9 +84,9 @@
 	// lostWorkers is the number of workers that were lost while they ran the task, blamedCrashes
 	// the number of crashes attributed to it.
 	lostWorkers, blamedCrashes int
-	// silentRuns maps runs whose worker stopped answering to the time of it, as long as it is not
+	// unreachableRuns maps the runs whose worker became unreachable to the time of it, until it is
 	// known whether the worker crashed.
-	silentRuns map[uint32]time.Time
+	unreachableRuns map[uint32]time.Time
 	// crashedRuns are the runs whose worker is known to have crashed and was counted.
 	crashedRuns map[uint32]bool
 	// refusedBy counts the refusals of the task by worker.
--- a/core/batch/record.go
+++ b/core/batch/record.go
@@ -23,7 +23,7 @@
 	// attributed to it.
 	Lost   int `cbor:"8,keyasint,omitempty"`
 	Blamed int `cbor:"9,keyasint,omitempty"`
-	// Lapsed is the number of workers that stopped answering while they ran the task and may have
+	// Lapsed is the number of workers that became unreachable while they ran the task and may have
 	// crashed.
 	Lapsed int `cbor:"10,keyasint,omitempty"`
 }
@@ -71,7 +71,7 @@
 	t.failures, t.run, t.newestHandledRun, t.checkpoint = p.Failures, p.Run, p.Run, p.Checkpoint
 	t.abandonedRun = p.Abandoned
 	t.lostWorkers, t.blamedCrashes = p.Lost, p.Blamed
-	t.restoreSilentRuns(now, p.Lapsed)
+	t.restoreUnreachableRuns(now, p.Lapsed)
 	if p.Run > 0 {
 		t.handledRuns = map[uint32]bool{p.Run: true}
 	}
@@ -93,7 +93,7 @@
 			}
 			p := TaskProgress{
 				Step: i, Index: n, Done: t.state == taskDone, Failures: t.failures, Run: t.newestHandledRun, Abandoned: t.abandonedRun,
-				Lost: t.lostWorkers, Blamed: t.blamedCrashes, Lapsed: len(t.silentRuns),
+				Lost: t.lostWorkers, Blamed: t.blamedCrashes, Lapsed: len(t.unreachableRuns),
 			}
 			if !p.Done {
 				p.Checkpoint = t.checkpoint
