--- a/common/boottime/boottime.go
+++ b/common/boottime/boottime.go
@@ -1,8 +1,8 @@
-// Package boottime reads the clock by which leases are judged.
+// Package boottime reads the clock against which leases are checked, CLOCK_BOOTTIME.
 //
-// Go's monotonic clock stands still while a machine is suspended and the time
-// of day jumps. CLOCK_BOOTTIME does neither, so that a holder that was suspended
-// past the end of its lease sees it.
+// Go's monotonic clock stops while the host is suspended, and the wall clock can jump.
+// CLOCK_BOOTTIME does neither, so a lease holder that was suspended until after the expiry of its
+// lease detects the expiry.
 package boottime
 
 import (
@@ -11,12 +11,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the machine started as an instant that may be
-// compared with other instants of this package on the same machine only.
+// Now returns the time since the host booted, as an instant after the Unix epoch. It is comparable
+// only with other results of Now on the same host and since the same boot.
 func Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Every Linux since 2.6.39 has the clock; without it no lease can be judged.
+		// Linux has had the clock since 2.6.39; no lease can be checked without it.
 		panic(err)
 	}
 	return time.Unix(ts.Sec, ts.Nsec)
--- a/common/config/config.go
+++ b/common/config/config.go
@@ -1,7 +1,7 @@
-// Package config defines the configuration that operators submit: teams and
-// their quotas, services and their kinds of tasks, credentials, and the weights
-// of the policy. It is one versioned document; a bad one is refused whole, with
-// every mistake named.
+// Package config defines the configuration that operators submit: teams and their quotas, services
+// and their kinds of tasks, credentials, the policy, and the drained data centres. It is one
+// versioned document. A document with a mistake is rejected as a whole, and every mistake is
+// reported.
 package config
 
 import (
@@ -30,42 +30,42 @@
 	Operators []Operator `json:"operators,omitempty"`
 	Services  []Service  `json:"services"`
 	Policy    Policy     `json:"policy"`
-	// Drained are data centres whose backend servers finish what they run and get
-	// nothing new.
+	// Drained lists the data centres whose backend servers finish the tasks they run and get no new
+	// ones.
 	Drained []string `json:"drained,omitempty"`
-	// Retention is how long the outcome of a submission can be asked for.
+	// Retention is how long the outcome of a submission is available; DefaultRetention if 0.
 	Retention settings.Duration `json:"retention,omitempty"`
 }
 
-// Team is a caller that shares the platform.
+// Team is a team of callers, with a quota and a share of the capacity.
 type Team struct {
 	Name string `json:"name"`
-	// Weight is the team's share when there is not enough for all; 1 if 0.
+	// Weight is the team's relative share when the demand exceeds the capacity; 1 if 0.
 	Weight float64 `json:"weight,omitempty"`
-	// Quota bounds the team's open tasks over all entries; 0 means no bound.
+	// Quota limits the team's open tasks over all entries; 0 means no limit.
 	Quota  int          `json:"quota,omitempty"`
 	Tokens []Credential `json:"tokens,omitempty"`
 }
 
-// Credential is a bearer token, kept as a hash.
+// Credential is a bearer token, stored as a hash.
 type Credential struct {
-	// SHA256 is the hash of the token, in lower-case hexadecimal.
+	// SHA256 is the SHA-256 hash of the token, in lower-case hexadecimal.
 	SHA256 string `json:"sha256"`
-	// Expires is an RFC 3339 time after which the token is refused; optional.
+	// Expires is the time (RFC 3339) after which the token is refused; optional.
 	Expires string `json:"expires,omitempty"`
 }
 
-// Role is what an operator may do.
+// Role is what the holder of a credential may do.
 type Role string
 
-// Roles. Caller is that of a team's token.
+// Roles. RoleCaller is the role of a team's token; the others are those of operators.
 const (
 	RoleCaller   Role = "caller"
 	RoleOperator Role = "operator"
 	RoleReadOnly Role = "read-only"
 )
 
-// Operator may use the administration API.
+// Operator is a user of the administration API.
 type Operator struct {
 	Name   string       `json:"name"`
 	Role   Role         `json:"role"`
@@ -80,70 +80,72 @@
 	Kinds    []Kind `json:"kinds"`
 }
 
-// Kind is an operation of a service.
+// Kind is a kind of tasks, an operation of a service.
 type Kind struct {
 	Name string `json:"name"`
-	// Repeatable permits a second start after a first that failed or was lost.
+	// Repeatable permits another start of a task after a start that failed or was lost.
 	Repeatable bool `json:"repeatable,omitempty"`
 	// Class is urgent, interactive or batch; interactive if empty.
 	Class string `json:"class,omitempty"`
-	// MaxRun is the time after which a backend server gives a task up.
+	// MaxRun is the run time after which a backend server stops a task; DefaultMaxRun if 0.
 	MaxRun settings.Duration `json:"maxRun,omitempty"`
 }
 
-// Policy weighs response time against messages and cost.
+// Policy weighs response times against wasted messages and the cost of awake workers.
 type Policy struct {
-	// ResponseWeight moves from few wasted messages (0) to short response times (1).
+	// ResponseWeight goes from few wasted messages (0) to short response times (1).
 	ResponseWeight float64 `json:"responseWeight"`
-	// Headroom is the part of awake slots kept free, 0 to 1.
+	// Headroom is the fraction of the slots of awake workers that is kept free, 0 to 1.
 	Headroom float64 `json:"headroom,omitempty"`
-	// MinAwake is the number of workers that never sleep.
+	// MinAwake is the least number of workers that are kept awake.
 	MinAwake int `json:"minAwake,omitempty"`
-	// IdleBeforeSleep is how long a worker must not be needed before it sleeps.
+	// IdleBeforeSleep is how long a worker must not be needed before it is put to sleep.
 	IdleBeforeSleep settings.Duration `json:"idleBeforeSleep,omitempty"`
 }
 
-// Defaults of optional values.
+// Defaults of optional values, and the shortest retention that is allowed.
 const (
 	DefaultMaxRun    = 30 * time.Second
 	DefaultRetention = 24 * time.Hour
 	minRetention     = time.Hour
 )
 
-// Class names in order of urgency; the index is the wire's class.
+// classNames are the names of the classes, the most urgent first; the index is the number of the
+// class in messages.
 var classNames = []string{"urgent", "interactive", "batch"}
 
-// Compiled is a checked document in the form that requests are matched against.
+// Compiled is a valid document, indexed for the look-ups that requests need.
 type Compiled struct {
 	Version  uint64
 	Document Document
 	teams    map[string]*Team
 	kinds    map[kindKey]*CompiledKind
 	services map[string]bool
-	// tokens maps the hash of a token to its holder.
+	// tokens maps the hash of a token to the holder of the token.
 	tokens map[[sha256.Size]byte]Identity
 }
 
 type kindKey struct{ service, kind string }
 
-// CompiledKind is a kind with parsed values.
+// CompiledKind is a Kind with parsed values and defaults.
 type CompiledKind struct {
 	Repeatable bool
-	Class      uint8
-	MaxRun     time.Duration
-	// ServiceSelector is the text of the service's selector.
+	// Class is 0 for urgent, 1 for interactive and 2 for batch.
+	Class  uint8
+	MaxRun time.Duration
+	// ServiceSelector is the text of the selector of the service.
 	ServiceSelector string
 }
 
 // Identity is the holder of a credential.
 type Identity struct {
 	Role Role
-	// Name is that of the team or operator.
+	// Name is the name of the team or operator.
 	Name    string
 	expires time.Time
 }
 
-// Parse checks a document. The error is settings.Problems if it is not valid.
+// Parse decodes and checks a document. The error is settings.Problems if it is not valid.
 func Parse(data []byte) (*Compiled, error) {
 	var doc Document
 	var c *Compiled
@@ -158,6 +160,8 @@
 	return c, nil
 }
 
+// compile indexes a document and returns the mistakes that the schema cannot express. The result
+// may be used only if there are none.
 func compile(doc Document) (*Compiled, settings.Problems) {
 	c := &Compiled{
 		Document: doc, teams: make(map[string]*Team), kinds: make(map[kindKey]*CompiledKind),
@@ -245,7 +249,7 @@
 		p.Add(path+"/maxRun", kind.MaxRun.Std(), "greater than 0s")
 	}
 	compiled := &CompiledKind{
-		Repeatable: kind.Repeatable, Class: classOf(kind.Class), MaxRun: kind.MaxRun.Std(), ServiceSelector: service.Selector,
+		Repeatable: kind.Repeatable, Class: parseClass(kind.Class), MaxRun: kind.MaxRun.Std(), ServiceSelector: service.Selector,
 	}
 	if compiled.MaxRun == 0 {
 		compiled.MaxRun = DefaultMaxRun
@@ -253,28 +257,29 @@
 	c.kinds[key] = compiled
 }
 
-func classOf(name string) uint8 {
-	for i, have := range classNames {
-		if have == name {
+// parseClass returns the number of a class; that of interactive for an empty or unknown name.
+func parseClass(name string) uint8 {
+	for i, known := range classNames {
+		if known == name {
 			return uint8(i)
 		}
 	}
 	return 1
 }
 
-// ClassName returns the published name of a class.
+// ClassName returns the published name of a class; that of batch for numbers beyond the last class.
 func ClassName(class uint8) string { return classNames[min(int(class), len(classNames)-1)] }
 
-// Team returns the team, or nil.
+// Team returns the team with a name, or nil if there is none.
 func (c *Compiled) Team(name string) *Team { return c.teams[name] }
 
-// HasService reports whether the service exists.
+// HasService reports whether there is a service with a name.
 func (c *Compiled) HasService(name string) bool { return c.services[name] }
 
-// Kind returns a kind of a service, or nil.
+// Kind returns a kind of a service, or nil if there is none.
 func (c *Compiled) Kind(service, kind string) *CompiledKind { return c.kinds[kindKey{service, kind}] }
 
-// Retention returns how long outcomes are kept.
+// Retention returns how long the outcomes of submissions are available.
 func (c *Compiled) Retention() time.Duration {
 	if c.Document.Retention == 0 {
 		return DefaultRetention
@@ -282,14 +287,15 @@
 	return c.Document.Retention.Std()
 }
 
-// Authenticate returns the holder of a bearer token. The comparison takes the
-// same time for every token.
+// Authenticate returns the holder of a bearer token, and false if the token is unknown or has
+// expired. It compares with all stored hashes in constant time, so that its duration tells nothing
+// about them.
 func (c *Compiled) Authenticate(token string, now time.Time) (Identity, bool) {
 	hash := sha256.Sum256([]byte(token))
 	var holder Identity
 	found := 0
-	for have, identity := range c.tokens {
-		if subtle.ConstantTimeCompare(have[:], hash[:]) == 1 {
+	for known, identity := range c.tokens {
+		if subtle.ConstantTimeCompare(known[:], hash[:]) == 1 {
 			holder = identity
 			found = 1
 		}
@@ -300,7 +306,7 @@
 	return holder, true
 }
 
-// HashToken returns the form in which a token is kept.
+// HashToken returns the hash of a token in the form that Credential stores.
 func HashToken(token string) string {
 	hash := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(hash[:])
@@ -308,11 +314,13 @@
 
 // Version is a stored version of the configuration.
 type Version struct {
-	// Number grows by one with each accepted change; the first is 1.
-	Number uint64    `json:"number"`
+	// Number increases by one with each accepted change; the first is 1.
+	Number uint64 `json:"number"`
+	// Author is the name of the operator who made the change.
 	Author string    `json:"author"`
 	At     time.Time `json:"at"`
-	// Nonce identifies the change, so that a repeated put is known as itself.
+	// Nonce identifies the change, so that a put that is repeated is not taken for a conflicting
+	// one.
 	Nonce    string          `json:"nonce"`
 	Document json.RawMessage `json:"document"`
 }
--- a/common/config/config_test.go
+++ b/common/config/config_test.go
@@ -13,11 +13,13 @@
 	"peridotpick.example/common/settings"
 )
 
-const good = `{"teams":[{"name":"a","tokens":[{"sha256":"HASH","expires":"2030-01-01T00:00:00Z"}]}],
+const validDocument = `{"teams":[{"name":"a","tokens":[{"sha256":"HASH","expires":"2030-01-01T00:00:00Z"}]}],
  "services":[{"name":"tally","selector":"cores>4","kinds":[{"name":"scan","repeatable":true,"class":"batch","maxRun":"5s"}]}],"policy":{"responseWeight":0.5}}`
 
+// document returns validDocument with the first occurrence of from replaced, and the hash of the
+// token "secret" filled in.
 func document(from, to string) []byte {
-	text := strings.Replace(good, from, to, 1)
+	text := strings.Replace(validDocument, from, to, 1)
 	return []byte(strings.Replace(text, "HASH", HashToken("secret"), 1))
 }
 
@@ -29,23 +31,24 @@
 	is.Equal(*kind, CompiledKind{Repeatable: true, Class: 2, MaxRun: 5 * time.Second, ServiceSelector: "cores>4"})
 	is.True(c.Kind("tally", "other") == nil)
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	who, ok := c.Authenticate("secret", now)
+	holder, ok := c.Authenticate("secret", now)
 	is.True(ok)
-	is.Equal(who.Name, "a")
+	is.Equal(holder.Name, "a")
 	_, ok = c.Authenticate("wrong", now)
 	is.True(!ok)
 	_, ok = c.Authenticate("secret", now.AddDate(10, 0, 0)) // expired
 	is.True(!ok)
 }
 
-func TestBadDocumentsAreRefusedWhole(t *testing.T) {
+// TestInvalidDocuments checks that each mistake rejects the document and is reported at its path.
+func TestInvalidDocuments(t *testing.T) {
 	cases := []struct{ name, from, to, path string }{
 		{"unknown field", `"policy"`, `"colour":1,"policy"`, "/"},
 		{"weight out of range", `0.5`, `1.5`, "/policy/responseWeight"},
-		{"bad selector", `cores>4`, `cores>>4`, "/services/0/selector"},
+		{"invalid selector", `cores>4`, `cores>>4`, "/services/0/selector"},
 		{"duplicate kind", `"kinds":[`, `"kinds":[{"name":"scan"},`, "/services/0/kinds/1/name"},
 		{"duplicate team", `"teams":[`, `"teams":[{"name":"a"},`, "/teams/1/name"},
-		{"bad expiry", `2030-01-01T00:00:00Z`, `soon`, "/teams/0/tokens/0/expires"},
+		{"invalid expiry", `2030-01-01T00:00:00Z`, `soon`, "/teams/0/tokens/0/expires"},
 		{"data centre without a name", `"policy"`, `"drained":[""],"policy"`, "/drained/0"},
 		{"short retention", `"policy"`, `"retention":"1s","policy"`, "/retention"},
 	}
@@ -60,6 +63,7 @@
 	}
 }
 
+// TestDeployedConfigurations checks the configurations of the deployments in this repository.
 func TestDeployedConfigurations(t *testing.T) {
 	is := is.New(t)
 	paths, err := filepath.Glob("../../deploy/*/config.json")
--- a/common/errkind/errkind.go
+++ b/common/errkind/errkind.go
@@ -1,10 +1,8 @@
-// Package errkind is the closed list of error kinds of peridotpick and the
-// one table that maps each kind to an HTTP status, an exit code, what is known
-// about execution, and whether a retry makes sense.
+// Package errkind defines the closed set of error kinds and the table that maps each kind to its
+// HTTP status, its exit code, what is known about execution, and whether a retry makes sense.
 //
-// Every refusal or failure a caller sees carries exactly one Kind. The table
-// is the only place where a kind is translated; no other package chooses a
-// status code or decides whether a caller may retry.
+// Every refusal or failure that a caller sees carries exactly one Kind. Only this table translates
+// a kind: no other package chooses a status code or decides whether a caller may retry.
 package errkind
 
 import "net/http"
@@ -12,8 +10,8 @@
 // Kind identifies one class of failure. The zero value OK means success.
 type Kind uint8
 
-// The closed list of kinds. New kinds are appended: values travel between
-// processes of different versions.
+// All kinds. New kinds are appended, because the values are sent between processes of different
+// versions.
 const (
 	OK Kind = iota
 	InvalidRequest
@@ -38,14 +36,14 @@
 	kindCount
 )
 
-// Ran states what is known about the execution of the refused or failed work.
+// Ran is what is known about the execution of work that was refused or failed.
 type Ran uint8
 
 // Values of Ran.
 const (
-	// NotRun is a proof: no backend server received the work.
+	// NotRun means that certainly no backend server received the work.
 	NotRun Ran = iota
-	// DidRun means that the work ran to an end.
+	// DidRun means that the work ran and ended.
 	DidRun
 	// Unknown means that the work may have run, in part or in full.
 	Unknown
@@ -56,23 +54,23 @@
 // String returns the published name of r.
 func (r Ran) String() string { return ranNames[r] }
 
-// Entry is one row of the table.
-type Entry struct {
-	// Name is the published, stable name of the kind.
+// Properties are what the table holds for one kind.
+type Properties struct {
+	// Name is the published name of the kind; it never changes.
 	Name string
-	// Status is the HTTP status code of an answer of this kind.
+	// Status is the HTTP status code of an answer with this kind.
 	Status int
 	// Exit is the exit code of a command that ends with this kind.
 	Exit int
-	// Ran is what a caller may conclude about execution.
+	// Ran is what a caller may conclude about the execution of its work.
 	Ran Ran
-	// Retry reports whether the same request may succeed later, unchanged.
+	// Retry reports whether the same request, unchanged, may succeed later.
 	Retry bool
-	// Title is the short human-readable summary (RFC 9457 "title").
+	// Title is a short human-readable summary, the member "title" of RFC 9457.
 	Title string
 }
 
-var table = [kindCount]Entry{
+var properties = [kindCount]Properties{
 	OK:               {"ok", http.StatusOK, 0, DidRun, false, "Completed"},
 	InvalidRequest:   {"invalid-request", http.StatusBadRequest, 2, NotRun, false, "The request is not valid"},
 	Unauthorized:     {"unauthorized", http.StatusUnauthorized, 3, NotRun, false, "The credential is missing, wrong or expired"},
@@ -95,18 +93,18 @@
 	Internal:         {"internal", http.StatusInternalServerError, 12, Unknown, false, "Internal error"},
 }
 
-// Of returns the table row of k; an unknown value maps to Internal.
-func Of(k Kind) Entry {
+// Of returns the properties of k; a value that is no kind has those of Internal.
+func Of(k Kind) Properties {
 	if k >= kindCount {
-		return table[Internal]
+		return properties[Internal]
 	}
-	return table[k]
+	return properties[k]
 }
 
 // String returns the published name of k.
 func (k Kind) String() string { return Of(k).Name }
 
-// All returns every kind in order.
+// All returns every kind in the order of its values.
 func All() []Kind {
 	kinds := make([]Kind, 0, kindCount)
 	for k := OK; k < kindCount; k++ {
@@ -115,10 +113,10 @@
 	return kinds
 }
 
-// Parse returns the kind with the published name.
+// Parse returns the kind with a published name; Internal and false if there is none.
 func Parse(name string) (Kind, bool) {
 	for k := OK; k < kindCount; k++ {
-		if table[k].Name == name {
+		if properties[k].Name == name {
 			return k, true
 		}
 	}
--- a/common/errkind/errkind_test.go
+++ b/common/errkind/errkind_test.go
@@ -6,25 +6,25 @@
 	"github.com/matryer/is"
 )
 
-// TestTable walks the whole table: each kind has a unique name, a status that
-// agrees with its retry flag, and a "not run" that no 5xx "unknown" contradicts.
-func TestTable(t *testing.T) {
+// TestProperties checks the properties of every kind: a unique name that Parse maps back to the
+// kind, a valid HTTP status, an exit code of 0 for OK alone, a title, and Retry only with NotRun.
+func TestProperties(t *testing.T) {
 	is := is.New(t)
 	seen := make(map[string]bool)
 	for _, k := range All() {
-		e := Of(k)
-		is.True(e.Name != "")
-		is.True(!seen[e.Name])
-		seen[e.Name] = true
-		is.True(e.Status >= 200 && e.Status < 600)
-		is.True((e.Exit == 0) == (k == OK))
-		is.True(e.Title != "")
-		if e.Retry {
-			is.Equal(e.Ran, NotRun) // only work that provably did not run may be repeated blindly
+		p := Of(k)
+		is.True(p.Name != "")
+		is.True(!seen[p.Name])
+		seen[p.Name] = true
+		is.True(p.Status >= 200 && p.Status < 600)
+		is.True((p.Exit == 0) == (k == OK))
+		is.True(p.Title != "")
+		if p.Retry {
+			is.Equal(p.Ran, NotRun) // only work that certainly did not run may be repeated unconditionally
 		}
-		back, ok := Parse(e.Name)
+		parsed, ok := Parse(p.Name)
 		is.True(ok)
-		is.Equal(back, k)
+		is.Equal(parsed, k)
 	}
 	is.Equal(Of(kindCount+7).Name, "internal")
 }
--- a/common/errkind/error.go
+++ b/common/errkind/error.go
@@ -7,20 +7,20 @@
 
 // Error is a typed failure that may be shown to a caller or an operator.
 type Error struct {
-	// Kind is the row of the table that this error answers with.
+	// Kind selects the status, exit code and title of the answer.
 	Kind Kind
 	// Field is the path of the offending input, such as "tasks[3].selector"; may be empty.
 	Field string
-	// Detail is one sentence that names the value and the limit.
+	// Detail is one sentence; it names the offending value and the limit, if there are any.
 	Detail string
-	// RetryAfter tells the caller when to come back; zero when unknown.
+	// RetryAfter is how long the caller should wait before it retries; 0 if unknown.
 	RetryAfter time.Duration
 }
 
 // New returns an Error of kind k with the given detail.
 func New(k Kind, detail string) *Error { return &Error{Kind: k, Detail: detail} }
 
-// NewField returns an Error of kind k about one field of the input.
+// NewField returns an Error of kind k about one field of the input, given by its path.
 func NewField(k Kind, field, detail string) *Error {
 	return &Error{Kind: k, Field: field, Detail: detail}
 }
@@ -33,7 +33,8 @@
 	return e.Kind.String() + ": " + e.Field + ": " + e.Detail
 }
 
-// From returns the Error inside err, or an Internal one that wraps its text.
+// From returns the Error that err wraps, or an Internal one with the text of err as its detail.
+// err must not be nil.
 func From(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
--- a/common/incarnation/incarnation_test.go
+++ b/common/incarnation/incarnation_test.go
@@ -6,7 +6,9 @@
 	"github.com/matryer/is"
 )
 
-func TestProcessesThatStartTogetherDiffer(t *testing.T) {
+// TestNumbersOfSimultaneousStartsDiffer guards against two processes that get the same number
+// because they start at the same time.
+func TestNumbersOfSimultaneousStartsDiffer(t *testing.T) {
 	is := is.New(t)
 	seen := make(map[uint64]bool)
 	for range 1000 {
--- a/common/label/label.go
+++ b/common/label/label.go
@@ -1,9 +1,8 @@
-// Package label holds labels of tasks and workers and the selectors over them.
+// Package label defines the labels of workers and the selectors with which tasks require labels.
 //
-// Selectors use the published Kubernetes label-selector grammar, including its
-// numeric comparisons: "zone in (a,b), gpu, !spot, tier!=test, cores>8". They
-// are parsed once, when configuration or a request is accepted, and matched
-// without allocation afterwards.
+// Selectors have the grammar of Kubernetes label selectors, including its numeric comparisons:
+// "zone in (a,b), gpu, !spot, tier!=test, cores>8". They are parsed once, when a configuration or a
+// request is accepted; matching does not allocate.
 package label
 
 import (
@@ -15,19 +14,21 @@
 	"peridotpick.example/common/errkind"
 )
 
-// MaxSelectorLength bounds the text of one selector, in bytes.
+// MaxSelectorLength is the maximum length of the text of a selector, in bytes.
 const MaxSelectorLength = 1024
 
-// Set is a set of labels, by name.
+// Set maps the names of labels to their values.
 type Set = labels.Set
 
-// Selector is a parsed selector. The zero value matches everything.
+// Selector is a parsed selector: a list of terms that must all hold. The zero value matches every
+// set.
 type Selector struct {
 	text  string
 	terms labels.Requirements
 }
 
-// Parse parses text. The error names the field and what is wrong with it.
+// Parse parses a selector. Its errors are *errkind.Error with the given field: TooLarge for a text
+// longer than MaxSelectorLength, InvalidRequest for one that is not valid.
 func Parse(field, text string) (Selector, error) {
 	if len(text) > MaxSelectorLength {
 		return Selector{}, errkind.NewField(errkind.TooLarge, field,
@@ -45,7 +46,7 @@
 // String returns the text that the selector was parsed from.
 func (s Selector) String() string { return s.text }
 
-// Matches reports whether every term of s holds for set.
+// Matches reports whether all terms of s hold for set.
 func (s Selector) Matches(set Set) bool {
 	for i := range s.terms {
 		if !s.terms[i].Matches(set) {
@@ -55,8 +56,8 @@
 	return true
 }
 
-// FailedTerm returns the first term that holds for none of sets, and true;
-// or "" and false if each term holds for at least one set.
+// FailedTerm returns the first term that holds for none of sets, and true, or "" and false if each
+// term holds for at least one set. It tells a caller which term of a selector no worker meets.
 func (s Selector) FailedTerm(sets []Set) (string, bool) {
 	for i := range s.terms {
 		if !anyMatches(&s.terms[i], sets) {
--- a/common/label/label_test.go
+++ b/common/label/label_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestParseNamesFieldAndLimit(t *testing.T) {
+func TestParseErrorHasFieldAndLimit(t *testing.T) {
 	is := is.New(t)
 	_, err := Parse("tasks[2].selector", "zone in (")
 	is.True(err != nil)
@@ -50,7 +50,7 @@
 	is.Equal(term, "cores>64")
 }
 
-func TestMatchDoesNotAllocate(t *testing.T) {
+func TestMatchesDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
 	s, err := Parse("selector", "zone in (hall-a,hall-b),cores>8,gpu,!spot")
 	is.NoErr(err)
--- a/common/logs/budget_test.go
+++ b/common/logs/budget_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestBudgetBoundsEachEventAndTellsWhatItLeftOut(t *testing.T) {
+func TestBudgetLimitsEachEventAndCountsSuppressedLines(t *testing.T) {
 	is := is.New(t)
 	b := NewBudget(2)
 	now := time.Unix(10, 0)
@@ -15,8 +15,8 @@
 		b.Allow("start", now)
 	}
 	ok, _ := b.Allow("end", now)
-	is.True(ok) // events do not crowd each other out
-	ok, leftOut := b.Allow("start", now.Add(time.Second))
+	is.True(ok) // each event has a limit of its own
+	ok, suppressed := b.Allow("start", now.Add(time.Second))
 	is.True(ok)
-	is.Equal(leftOut, 3)
+	is.Equal(suppressed, 3)
 }
--- a/common/logs/logs.go
+++ b/common/logs/logs.go
@@ -1,8 +1,8 @@
 // Package logs sets up structured logs that never block a request.
 //
-// Every line carries the fixed prefix of its part in the field "part" and a
-// short sentence as the message. Lines go through a bounded ring; when the
-// writer falls behind, lines are dropped and the number is reported.
+// Every line names the part of the system that wrote it in the field "part" and has a short
+// sentence as its message. Lines go through a bounded buffer to a writer in a goroutine of its own;
+// when the writer falls behind, lines are dropped and counted.
 package logs
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog/diode"
 )
 
-// Part is the fixed prefix of one part of the system.
+// Part is the name of a part of the system, the value of the field "part".
 type Part string
 
 // Parts of the system.
@@ -30,23 +30,23 @@
 	Load    Part = "load"
 )
 
-// Sink is where the lines of a process go.
+// Sink takes the log lines of a process and writes them in the background. It is safe for
+// concurrent use.
 type Sink struct {
 	logger zerolog.Logger
-	ring   io.WriteCloser
-	// lines handed to the ring, written, and dropped by it.
+	buffer io.WriteCloser
+	// Numbers of lines that were put into the buffer, written from it, and dropped by it.
 	accepted, written, dropped atomic.Int64
 }
 
-// ringLines bounds the lines that wait for the writer.
-const ringLines = 16384
+// bufferedLines is the number of lines that the buffer holds for the writer.
+const bufferedLines = 16384
 
-// waitForLines makes the ring's writer sleep until there is a line; any other
-// value is an interval at which it looks, which costs a process at rest most of
-// its processor time.
-const waitForLines = time.Duration(0)
+// bufferPollInterval of 0 makes the writer of the buffer sleep until there is a line. Any other
+// value is the interval at which it polls, which takes most of the CPU time of an idle process.
+const bufferPollInterval = time.Duration(0)
 
-// timeFormat tells lines of several processes apart to the microsecond.
+// timeFormat has microseconds, so that the lines of several processes can be merged in order.
 const timeFormat = "2006-01-02T15:04:05.000000Z07:00"
 
 func init() { zerolog.TimeFieldFormat = timeFormat }
@@ -54,51 +54,52 @@
 // New returns a sink that writes JSON lines of at least the given level to w.
 func New(w io.Writer, level zerolog.Level) *Sink {
 	s := new(Sink)
-	out := counted{w, &s.written}
-	s.ring = diode.NewWriter(out, ringLines, waitForLines, func(missed int) { s.dropped.Add(int64(missed)) })
-	s.logger = zerolog.New(counted{s.ring, &s.accepted}).Level(level).With().Timestamp().Logger()
+	out := countingWriter{w, &s.written}
+	s.buffer = diode.NewWriter(out, bufferedLines, bufferPollInterval, func(missed int) { s.dropped.Add(int64(missed)) })
+	s.logger = zerolog.New(countingWriter{s.buffer, &s.accepted}).Level(level).With().Timestamp().Logger()
 	return s
 }
 
-// counted counts the lines written through it.
-type counted struct {
+// countingWriter counts the lines written through it; each Write is a line.
+type countingWriter struct {
 	io.Writer
 	lines *atomic.Int64
 }
 
 // Write implements io.Writer.
-func (c counted) Write(line []byte) (int, error) {
-	c.lines.Add(1)
-	return c.Writer.Write(line)
+func (w countingWriter) Write(line []byte) (int, error) {
+	w.lines.Add(1)
+	return w.Writer.Write(line)
 }
 
-// Discard returns a sink that drops everything.
+// Discard returns a sink that discards all lines.
 func Discard() *Sink { return &Sink{logger: zerolog.Nop()} }
 
-// For returns the logger of one part.
+// For returns the logger of a part.
 func (s *Sink) For(part Part) zerolog.Logger {
 	return s.logger.With().Str("part", string(part)).Logger()
 }
 
-// Dropped returns how many lines were lost because the writer fell behind.
+// Dropped returns how many lines were dropped because the writer fell behind.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Times of closing: the ring drops what it holds when it is closed, so its
-// writer is given some time to catch up first.
+// closeTimeout is how long Close waits for the writer to catch up, because the buffer drops the
+// lines that it holds when it is closed; closePollInterval is how often Close checks.
 const (
-	closeWithin = time.Second
-	closePoll   = time.Millisecond
+	closeTimeout      = time.Second
+	closePollInterval = time.Millisecond
 )
 
-// Close writes what is left.
+// Close waits, for at most closeTimeout, until the buffered lines are written, and ends the writer.
 func (s *Sink) Close() error {
-	if s.ring == nil {
+	if s.buffer == nil {
 		return nil
 	}
-	for end := time.Now().Add(closeWithin); time.Now().Before(end) && s.pending() > 0; {
-		time.Sleep(closePoll)
+	for end := time.Now().Add(closeTimeout); time.Now().Before(end) && s.pending() > 0; {
+		time.Sleep(closePollInterval)
 	}
-	return s.ring.Close()
+	return s.buffer.Close()
 }
 
+// pending returns the number of lines in the buffer.
 func (s *Sink) pending() int64 { return s.accepted.Load() - s.written.Load() - s.dropped.Load() }
--- a/common/logs/logs_test.go
+++ b/common/logs/logs_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// safeBuffer is a buffer that the ring's goroutine may write to.
+// safeBuffer is a buffer that the goroutine of a sink's writer may write to.
 type safeBuffer struct {
 	mu sync.Mutex
 	bytes.Buffer
@@ -36,7 +36,7 @@
 	is.Equal(line.Message, "route: placed")
 }
 
-// BenchmarkDecisionLine is the cost of one decision's line to the caller.
+// BenchmarkDecisionLine measures what logging one decision costs the goroutine that logs it.
 func BenchmarkDecisionLine(b *testing.B) {
 	sink := New(&safeBuffer{}, zerolog.InfoLevel)
 	log := sink.For(Route)
--- a/common/ordered/map.go
+++ b/common/ordered/map.go
@@ -1,5 +1,5 @@
-// Package ordered has a map that is walked in the order of insertion, so that
-// decisions taken while walking it are the same each time.
+// Package ordered provides a map that iterates in insertion order, so that decisions made while
+// iterating are deterministic.
 package ordered
 
 import (
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// Map is a map that remembers the order of insertion. The zero value is empty.
+// Map is a map with iteration in insertion order. The zero value is an empty map, ready to use.
+// It is not safe for concurrent use.
 type Map[K comparable, V any] struct {
 	values map[K]*item[K, V]
 	order  []*item[K, V]
@@ -19,7 +20,7 @@
 	deleted bool
 }
 
-// Get returns the value of a key, or the zero value.
+// Get returns the value of a key, or the zero value of V if the key is not in the map.
 func (m *Map[K, V]) Get(key K) V {
 	if i := m.values[key]; i != nil {
 		return i.value
@@ -28,13 +29,14 @@
 	return zero
 }
 
-// Has reports whether a key is there.
+// Has reports whether a key is in the map.
 func (m *Map[K, V]) Has(key K) bool { return m.values[key] != nil }
 
 // Len returns the number of keys.
 func (m *Map[K, V]) Len() int { return len(m.order) }
 
-// Put sets the value of a key. A new key goes last.
+// Put sets the value of a key. A new key becomes the last in order; an existing one keeps its
+// position.
 func (m *Map[K, V]) Put(key K, value V) {
 	if i := m.values[key]; i != nil {
 		i.value = value
@@ -48,7 +50,7 @@
 	m.order = append(m.order, i)
 }
 
-// Delete removes a key.
+// Delete removes a key if it is in the map, in time linear in the number of keys.
 func (m *Map[K, V]) Delete(key K) {
 	i := m.values[key]
 	if i == nil {
@@ -57,10 +59,12 @@
 	i.deleted = true
 	delete(m.values, key)
 	at := slices.Index(m.order, i)
-	m.order = slices.Delete(slices.Clone(m.order), at, at+1) // walks go on over the old slice
+	m.order = slices.Delete(slices.Clone(m.order), at, at+1) // iterations in progress read the old slice
 }
 
-// All walks the map as it was at the start, without keys deleted meanwhile.
+// All returns an iterator over the keys and values, in insertion order. The map may be changed
+// during the iteration: keys that are deleted before their turn are skipped, and keys that are put
+// after the start are not visited.
 func (m *Map[K, V]) All() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		for _, i := range m.order {
@@ -71,7 +75,7 @@
 	}
 }
 
-// Values walks the values like All.
+// Values returns an iterator over the values, with the order and rules of All.
 func (m *Map[K, V]) Values() iter.Seq[V] {
 	return func(yield func(V) bool) {
 		for _, v := range m.All() {
--- a/common/ordered/map_test.go
+++ b/common/ordered/map_test.go
@@ -6,7 +6,9 @@
 	"github.com/matryer/is"
 )
 
-func TestWalksInOrderOfInsertionAndBearsDeletion(t *testing.T) {
+// TestIteratesInInsertionOrderDuringChanges changes the map during an iteration: the iteration
+// skips deleted keys and ignores new ones.
+func TestIteratesInInsertionOrderDuringChanges(t *testing.T) {
 	is := is.New(t)
 	var m Map[string, int]
 	for i, k := range []string{"c", "a", "b", "d"} {
--- a/common/settings/problems.go
+++ b/common/settings/problems.go
@@ -14,7 +14,7 @@
 	"peridotpick.example/common/errkind"
 )
 
-// EntrySchema and AgentSchema are the published JSON Schemas.
+// EntrySchema and AgentSchema are the published JSON Schemas of the settings files.
 var (
 	//go:embed entry.schema.json
 	EntrySchema []byte
@@ -22,27 +22,27 @@
 	AgentSchema []byte
 )
 
-// The schemas are compiled when a document is read: an entry or agent on a small share of a
-// core starts later by all that its packages do at their initialization.
+// The schemas are compiled when a document is first read, not at package initialization, whose cost
+// would delay the start of every entry and agent that has only a small share of a core.
 var (
 	entrySchema = LazySchema("entry", &EntrySchema)
 	agentSchema = LazySchema("agent", &AgentSchema)
 )
 
-// Problem is one mistake in a document.
+// Problem is one mistake in a settings file or configuration.
 type Problem struct {
-	// Path is the JSON Pointer (RFC 6901) of the value.
+	// Path is the JSON Pointer (RFC 6901) of the offending value.
 	Path string
-	// Value is the value found.
+	// Value is the offending value; empty for objects, arrays and missing values.
 	Value string
-	// Allowed says what is allowed.
+	// Allowed describes the values that are allowed.
 	Allowed string
 }
 
-// Problems are all mistakes of a document.
+// Problems are all mistakes in a document.
 type Problems []Problem
 
-// Error implements error, one mistake a line.
+// Error implements error, with one line for each mistake.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
@@ -59,7 +59,8 @@
 	return fmt.Sprintf("%s: %s: allowed: %s", p.Path, p.Value, p.Allowed)
 }
 
-// Kind returns the error as the answer to a bad document.
+// Kind returns an InvalidRequest error with all mistakes, to answer a caller with. The path of the
+// first is its field, so p must not be empty.
 func (p Problems) Kind() *errkind.Error {
 	return errkind.NewField(errkind.InvalidRequest, p[0].Path, p.Error())
 }
@@ -68,7 +69,7 @@
 	*p = append(*p, Problem{Path: path, Value: fmt.Sprint(value), Allowed: allowed})
 }
 
-// Add records a mistake.
+// Add appends a mistake.
 func (p *Problems) Add(path string, value any, allowed string) { p.add(path, value, allowed) }
 
 // Err returns p as an error, or nil if there are no mistakes.
@@ -81,12 +82,13 @@
 	return p
 }
 
-// LazySchema returns a function that compiles a schema which is part of the program, once.
+// LazySchema returns a function that compiles an embedded schema on the first call and returns the
+// same result from then on. It panics if the schema is not valid.
 func LazySchema(name string, schema *[]byte) func() *jsonschema.Schema {
 	return sync.OnceValue(func() *jsonschema.Schema { return MustCompile(name, *schema) })
 }
 
-// MustCompile compiles a schema that is part of the program.
+// MustCompile compiles an embedded schema. It panics if the schema is not valid.
 func MustCompile(name string, schema []byte) *jsonschema.Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schema))
 	if err != nil {
@@ -99,14 +101,15 @@
 	return compiler.MustCompile(name)
 }
 
-// CheckSchema validates a JSON document and returns the mistakes that its schema finds.
+// CheckSchema validates a JSON document against a schema alone. The error is Problems if the
+// document is not valid.
 func CheckSchema(schema *jsonschema.Schema, data []byte) error {
 	return Read(schema, data, new(any), func() Problems { return nil })
 }
 
 var printer = message.NewPrinter(language.English)
 
-// collect gathers the leaves of a validation error.
+// collect appends the leaves of a tree of validation errors; doc is the validated document.
 func (p *Problems) collect(e *jsonschema.ValidationError, doc any) {
 	for _, cause := range e.Causes {
 		p.collect(cause, doc)
@@ -115,10 +118,10 @@
 		return
 	}
 	path := "/" + strings.Join(e.InstanceLocation, "/")
-	*p = append(*p, Problem{Path: path, Value: shown(lookup(doc, e.InstanceLocation)), Allowed: e.ErrorKind.LocalizedString(printer)})
+	*p = append(*p, Problem{Path: path, Value: scalarText(lookup(doc, e.InstanceLocation)), Allowed: e.ErrorKind.LocalizedString(printer)})
 }
 
-// lookup returns the value at a location of a decoded document.
+// lookup returns the value at a location of a decoded document, or nil if there is none.
 func lookup(doc any, location []string) any {
 	for _, step := range location {
 		switch node := doc.(type) {
@@ -135,8 +138,8 @@
 	return doc
 }
 
-// shown returns a scalar as text; objects and arrays are left out.
-func shown(value any) string {
+// scalarText returns a scalar as text; empty for null, objects and arrays.
+func scalarText(value any) string {
 	switch value.(type) {
 	case nil, map[string]any, []any:
 		return ""
--- a/common/settings/read.go
+++ b/common/settings/read.go
@@ -11,70 +11,73 @@
 	"github.com/santhosh-tekuri/jsonschema/v6/kind"
 )
 
-// Read decodes a JSON document and returns all its mistakes: those that the
-// schema finds and those that check finds. Values that the schema refuses are
-// left out for check, so that one wrong type hides no other mistake.
+// Read validates a JSON document against a schema, decodes it into a value, and runs check on that
+// value. The error is Problems if the document is not valid, with the mistakes that the schema
+// finds and those that check finds. Values that the schema rejects are not decoded, so that one
+// value of a wrong type hides no other mistake; mistakes that check finds at or below them are
+// dropped.
 func Read(schema *jsonschema.Schema, data []byte, into any, check func() Problems) error {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
 		return Problems{{Path: "/", Allowed: "valid JSON: " + err.Error()}}
 	}
 	var p Problems
-	var bad refusedPaths
+	var rejected rejectedPaths
 	if err := schema.Validate(doc); err != nil {
 		invalid, ok := err.(*jsonschema.ValidationError)
 		if !ok {
 			return eris.Wrap(err, "validate")
 		}
 		p.collect(invalid, doc)
-		doc = bad.leaveOut(invalid, doc)
+		doc = rejected.removeRejected(invalid, doc)
 	}
-	sound, err := json.Marshal(doc)
+	valid, err := json.Marshal(doc)
 	if err != nil {
-		return eris.Wrap(err, "encode what is valid")
+		return eris.Wrap(err, "encode valid part of document")
 	}
-	if err := json.Unmarshal(sound, into); err != nil {
+	if err := json.Unmarshal(valid, into); err != nil {
 		if len(p) > 0 {
-			return p // not even an object
+			return p // the document is not an object
 		}
 		return eris.Wrap(err, "decode")
 	}
 	for _, found := range check() {
-		if !bad.covers(found.Path) {
+		if !rejected.covers(found.Path) {
 			p = append(p, found)
 		}
 	}
 	return p.err()
 }
 
-// refusedPaths are the paths at which the schema has found a mistake.
-type refusedPaths []string
+// rejectedPaths are the JSON Pointers of the values that the schema rejects or misses.
+type rejectedPaths []string
 
-// leaveOut removes the refused values from a document.
-func (r *refusedPaths) leaveOut(e *jsonschema.ValidationError, doc any) any {
+// removeRejected removes the rejected values from doc and records their paths. It returns the rest
+// of the document.
+func (r *rejectedPaths) removeRejected(e *jsonschema.ValidationError, doc any) any {
 	for _, cause := range e.Causes {
-		doc = r.leaveOut(cause, doc)
+		doc = r.removeRejected(cause, doc)
 	}
 	if len(e.Causes) > 0 {
 		return doc
 	}
-	at := "/" + strings.Join(e.InstanceLocation, "/")
+	path := "/" + strings.Join(e.InstanceLocation, "/")
 	switch k := e.ErrorKind.(type) {
 	case *kind.Required:
 		for _, name := range k.Missing {
-			*r = append(*r, strings.TrimSuffix(at, "/")+"/"+name)
+			*r = append(*r, strings.TrimSuffix(path, "/")+"/"+name)
 		}
-	case *kind.AdditionalProperties: // decoding ignores them
+	case *kind.AdditionalProperties: // unknown fields need no removal, decoding ignores them
 	default:
-		*r = append(*r, at)
-		doc = without(doc, e.InstanceLocation)
+		*r = append(*r, path)
+		doc = removeAt(doc, e.InstanceLocation)
 	}
 	return doc
 }
 
-// without returns a document without the value at a location. In an array the
-// value becomes null, so that its neighbours keep their index.
-func without(doc any, location []string) any {
+// removeAt removes the value at a location from doc and returns the rest. In an array the value
+// becomes null, so that the other elements keep their index.
+func removeAt(doc any, location []string) any {
 	if len(location) == 0 {
 		return nil
 	}
@@ -90,10 +93,10 @@
 	return doc
 }
 
-// covers reports whether a path is refused already, or lies in a refused value.
-func (r refusedPaths) covers(path string) bool {
-	for _, bad := range r {
-		if path == bad || strings.HasPrefix(path, bad+"/") {
+// covers reports whether a path is that of a rejected value, or lies within one.
+func (r rejectedPaths) covers(path string) bool {
+	for _, rejected := range r {
+		if path == rejected || strings.HasPrefix(path, rejected+"/") {
 			return true
 		}
 	}
--- a/common/settings/settings_test.go
+++ b/common/settings/settings_test.go
@@ -10,26 +10,26 @@
 	"github.com/matryer/is"
 )
 
-const goodEntry = `{"id":"entry-1","region":"nordkyst","dataCentre":"hall-a","listen":"127.0.0.1:7001",
+const validEntry = `{"id":"entry-1","region":"nordkyst","dataCentre":"hall-a","listen":"127.0.0.1:7001",
  "peerListen":"127.0.0.1:7101","platform":{"address":"127.0.0.1:7900"},"dev":true,"limits":{"maxBody":4096,"maxPayload":1024}}`
 
-const goodAgent = `{"id":"agent-1","worker":"w","region":"nordkyst","dataCentre":"hall-a","rack":"r","service":"tally",
+const validAgent = `{"id":"agent-1","worker":"w","region":"nordkyst","dataCentre":"hall-a","rack":"r","service":"tally",
  "listen":"127.0.0.1:7200","backend":"127.0.0.1:8080","entries":["127.0.0.1:7101"],"platform":{"address":"127.0.0.1:7900"},"dev":true}`
 
-func TestGoodSettings(t *testing.T) {
+func TestValidSettings(t *testing.T) {
 	is := is.New(t)
-	e, err := ParseEntry([]byte(goodEntry))
+	e, err := ParseEntry([]byte(validEntry))
 	is.NoErr(err)
 	is.Equal(e.PeerAddress, "127.0.0.1:7101")
 	is.Equal(e.Limits.MaxTasks, 140) // a default
-	a, err := ParseAgent([]byte(goodAgent))
+	a, err := ParseAgent([]byte(validAgent))
 	is.NoErr(err)
 	is.Equal(a.Slots, 8)
 }
 
-// TestBadSettings: each mistake is found at its path. Those that a JSON Schema
-// can express are found by the published schema alone.
-func TestBadSettings(t *testing.T) {
+// TestInvalidSettings checks that each mistake is reported at its path, and that the published
+// schema alone finds those that a JSON Schema can express.
+func TestInvalidSettings(t *testing.T) {
 	cases := []struct {
 		name, from, to string
 		path           string
@@ -39,10 +39,10 @@
 		{"wrong type", `"id":"entry-1"`, `"id":7`, "/id", true},
 		{"zero limit", `"maxBody":4096`, `"maxBody":0`, "/limits/maxBody", true},
 		{"negative limit", `"maxPayload":1024`, `"maxPayload":-1`, "/limits/maxPayload", true},
-		{"bad duration", `"maxBody":4096`, `"maxBody":4096,"drainTimeout":"soon"`, "/limits/drainTimeout", true},
+		{"invalid duration", `"maxBody":4096`, `"maxBody":4096,"drainTimeout":"soon"`, "/limits/drainTimeout", true},
 		{"missing", `"region":"nordkyst",`, ``, "/", true},
 		{"host name", `"listen":"127.0.0.1:7001"`, `"listen":"localhost:7001"`, "/listen", false},
-		{"clash", `"maxPayload":1024`, `"maxPayload":8192`, "/limits/maxPayload", false},
+		{"contradicting limits", `"maxPayload":1024`, `"maxPayload":8192`, "/limits/maxPayload", false},
 		{"zero duration", `"maxBody":4096`, `"maxBody":4096,"drainTimeout":"0s"`, "/limits/drainTimeout", false},
 		{"not loopback", `"listen":"127.0.0.1:7001"`, `"listen":"192.0.2.1:7001"`, "/listen", false},
 		{"no TLS", `"dev":true`, `"dev":false`, "/tls", false},
@@ -51,34 +51,34 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			bad := strings.Replace(goodEntry, c.from, c.to, 1)
-			is.True(bad != goodEntry)
-			_, err := ParseEntry([]byte(bad))
+			invalid := strings.Replace(validEntry, c.from, c.to, 1)
+			is.True(invalid != validEntry)
+			_, err := ParseEntry([]byte(invalid))
 			var problems Problems
 			is.True(errors.As(err, &problems))
 			is.Equal(problems[0].Path, c.path)
-			is.Equal(CheckSchema(entrySchema(), []byte(bad)) != nil, c.bySchema)
+			is.Equal(CheckSchema(entrySchema(), []byte(invalid)) != nil, c.bySchema)
 		})
 	}
 }
 
-func TestAllMistakesAtOnce(t *testing.T) {
+func TestAllMistakesAreReportedAtOnce(t *testing.T) {
 	is := is.New(t)
-	bad := strings.NewReplacer(`"127.0.0.1:7200"`, `"host:1"`, `"127.0.0.1:8080"`, `"other"`, `"dev":true`, `"dev":true,"slots":9,"connections":3`).Replace(goodAgent)
-	_, err := ParseAgent([]byte(bad))
+	invalid := strings.NewReplacer(`"127.0.0.1:7200"`, `"host:1"`, `"127.0.0.1:8080"`, `"other"`, `"dev":true`, `"dev":true,"slots":9,"connections":3`).Replace(validAgent)
+	_, err := ParseAgent([]byte(invalid))
 	var problems Problems
 	is.True(errors.As(err, &problems))
-	is.Equal(len(problems), 4) // listen, address (which follows it), backend, connections
+	is.Equal(len(problems), 4) // listen, address (by default that of listen), backend, connections
 	is.Equal(problems[3].String(), "/connections: 3: allowed: at least /slots, which is 9")
 }
 
-// TestWrongTypeHidesNoOtherMistake: a value of the wrong type, an unknown field and
-// what no schema can say are all named at the same time.
+// TestWrongTypeHidesNoOtherMistake checks that values of a wrong type, an unknown field and
+// mistakes that no schema can express are reported together.
 func TestWrongTypeHidesNoOtherMistake(t *testing.T) {
 	is := is.New(t)
-	bad := strings.NewReplacer(`"id":"entry-1"`, `"id":7,"colour":"red"`, `"127.0.0.1:7001"`, `"localhost:7001"`,
-		`"127.0.0.1:7101"`, `"localhost:7001"`, `"maxBody":4096`, `"maxBody":"all"`).Replace(goodEntry)
-	_, err := ParseEntry([]byte(bad))
+	invalid := strings.NewReplacer(`"id":"entry-1"`, `"id":7,"colour":"red"`, `"127.0.0.1:7001"`, `"localhost:7001"`,
+		`"127.0.0.1:7101"`, `"localhost:7001"`, `"maxBody":4096`, `"maxBody":"all"`).Replace(validEntry)
+	_, err := ParseEntry([]byte(invalid))
 	var problems Problems
 	is.True(errors.As(err, &problems))
 	paths := make(map[string]int)
@@ -92,16 +92,16 @@
 	is.Equal(paths["/peerListen"], 2)     // a host name, and the same address
 }
 
-// TestMissingIsNamedOnce: what is absent is not reported again as malformed.
-func TestMissingIsNamedOnce(t *testing.T) {
+// TestMissingValueIsReportedOnce checks that a missing value is not reported as malformed too.
+func TestMissingValueIsReportedOnce(t *testing.T) {
 	is := is.New(t)
-	_, err := ParseEntry([]byte(strings.Replace(goodEntry, `"listen":"127.0.0.1:7001",`, ``, 1)))
+	_, err := ParseEntry([]byte(strings.Replace(validEntry, `"listen":"127.0.0.1:7001",`, ``, 1)))
 	var problems Problems
 	is.True(errors.As(err, &problems))
 	is.Equal(len(problems), 1)
 }
 
-// TestDeployedSettings checks the committed settings of both users.
+// TestDeployedSettings checks the settings files of the deployments in this repository.
 func TestDeployedSettings(t *testing.T) {
 	is := is.New(t)
 	for pattern, load := range map[string]func(string) error{
@@ -120,7 +120,7 @@
 }
 
 func FuzzParseEntry(f *testing.F) {
-	f.Add([]byte(goodEntry))
+	f.Add([]byte(validEntry))
 	f.Add([]byte(`{"id":`))
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		_, _ = ParseEntry(data)
--- a/common/table/table.go
+++ b/common/table/table.go
@@ -1,8 +1,8 @@
-// Package table defines what peridotpick needs of the platform: a transactional
-// table service, an object store, and the power state of workers.
+// Package table defines the interfaces to the platform: a transactional table service, an object
+// store, and the control of the power state of workers.
 //
-// The interfaces are narrow on purpose. Package client reaches them over HTTP;
-// package standin implements them in memory for tests, demos and experiments.
+// The interfaces have only what peridotpick needs. Package service/tableclient implements them over
+// HTTP; package lab/platformstandin implements them in memory for tests, demos and experiments.
 package table
 
 import (
@@ -11,24 +11,26 @@
 	"time"
 )
 
-// Errors of the platform. Any other error of a commit leaves its fate unknown.
+// Errors of the platform. After any other error of a commit it is unknown whether it took effect.
 var (
-	// ErrNotSent: the request certainly had no effect.
+	// ErrNotSent means that the request was not sent; it certainly had no effect.
 	ErrNotSent = errors.New("request was not sent")
-	// ErrThrottled: refused for exceeding the rate; it had no effect.
+	// ErrThrottled means that the request exceeded the rate limit and was refused; it had no
+	// effect.
 	ErrThrottled = errors.New("rate limit of the table service")
-	// ErrNotFound: no such object.
+	// ErrNotFound means that there is no object with the given name.
 	ErrNotFound = errors.New("not found")
 )
 
-// Any as Op.IfVersion makes an operation unconditional.
+// Any is the value of Op.IfVersion that makes an operation unconditional.
 const Any = ^uint64(0)
 
-// Row is a stored row.
+// Row is a row of the table.
 type Row struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
-	// Version grows with each change of any row; never 0.
+	// Version is that of the last change of the row; never 0. Each change of any row gets a higher
+	// one.
 	Version uint64 `json:"version"`
 }
 
@@ -38,52 +40,52 @@
 	Value []byte `json:"value,omitempty"`
 	// Delete removes the row instead of writing Value.
 	Delete bool `json:"delete,omitempty"`
-	// IfVersion must be the row's version; 0 means that no row exists.
+	// IfVersion is the version that the row must have; 0 if there must be no row.
 	IfVersion uint64 `json:"ifVersion"`
 }
 
 // Commit is the result of a transaction.
 type Commit struct {
-	// Applied is true if all operations took effect.
+	// Applied reports whether the operations took effect.
 	Applied bool `json:"applied"`
-	// Version is that of all rows written.
+	// Version is the new version of all rows that were written.
 	Version uint64 `json:"version"`
-	// Conflicts lists, if nothing was applied, the operations whose condition
-	// did not hold.
+	// Conflicts lists the operations whose condition did not hold, if the transaction was not
+	// applied.
 	Conflicts []Conflict `json:"conflicts,omitempty"`
 }
 
-// Conflict tells why one operation could not be applied.
+// Conflict describes an operation whose condition did not hold.
 type Conflict struct {
-	// Op is the index of the operation.
+	// Op is the index of the operation in the transaction.
 	Op int `json:"op"`
-	// Current is the row in force; nil if there is none.
+	// Current is the stored row; nil if there is none.
 	Current *Row `json:"current,omitempty"`
 }
 
 // Table is the transactional table service.
 type Table interface {
-	// Commit applies all operations or none. After an error other than
-	// ErrNotSent and ErrThrottled the transaction may or may not have taken effect.
+	// Commit applies all operations or none. After an error other than ErrNotSent and ErrThrottled
+	// it is unknown whether the transaction took effect.
 	Commit(ctx context.Context, ops []Op) (Commit, error)
-	// Get returns the row, or nil if there is none.
+	// Get returns the row with a key, or nil if there is none.
 	Get(ctx context.Context, key string) (*Row, error)
-	// List returns up to limit rows whose key has the prefix and is greater
-	// than after, in key order.
+	// List returns at most limit rows whose key has the prefix and is greater than after, in key
+	// order.
 	List(ctx context.Context, prefix, after string, limit int) ([]Row, error)
 }
 
 // Objects is the object store.
 type Objects interface {
-	// Put stores data under a name that is written once.
+	// Put stores an object. A name is written only once.
 	Put(ctx context.Context, name string, data []byte) error
-	// Get returns the object, or ErrNotFound.
+	// Get returns the data of an object, or ErrNotFound.
 	Get(ctx context.Context, name string) ([]byte, error)
-	// Delete removes the object if it exists.
+	// Delete removes an object if it exists.
 	Delete(ctx context.Context, name string) error
 }
 
-// PowerState is the state of a worker's hardware.
+// PowerState is the power state of a worker.
 type PowerState string
 
 // Power states.
@@ -94,7 +96,7 @@
 	Unknown PowerState = "unknown"
 )
 
-// Worker is a machine as the platform lists it.
+// Worker is a worker as the platform lists it.
 type Worker struct {
 	ID         string            `json:"id"`
 	DataCentre string            `json:"dataCentre"`
@@ -103,19 +105,22 @@
 	MemoryMB   int               `json:"memoryMB"`
 	Labels     map[string]string `json:"labels"`
 	Power      PowerState        `json:"power"`
-	// Since is the time since the power state last changed.
+	// Since is the time that has passed since the last change of the power state.
 	Since time.Duration `json:"since"`
-	// Services are those whose backend servers start on the worker when it wakes.
+	// Services are the names of the services whose backend servers start when the worker wakes.
 	Services []string `json:"services"`
-	// Slots is the total of their slots.
+	// Slots is the total number of slots of these backend servers.
 	Slots int `json:"slots"`
-	// Usage is the used part of the processors, 0 to 1, reported with a lag.
+	// Usage is the CPU utilisation, 0 to 1, reported with a delay.
 	Usage float64 `json:"usage"`
 }
 
-// Workers controls the power of workers. Both calls are idempotent.
+// Workers lists the workers and controls their power.
 type Workers interface {
+	// List returns all workers.
 	List(ctx context.Context) ([]Worker, error)
+	// Wake starts to wake a worker. It is idempotent.
 	Wake(ctx context.Context, id string) error
+	// Sleep puts a worker to sleep. It is idempotent.
 	Sleep(ctx context.Context, id string) error
 }
