--- a/cmd/peridotpick-agent/check.go
+++ b/cmd/peridotpick-agent/check.go
@@ -11,7 +11,7 @@
 
 func checkCommand() *cli.Command {
 	return &cli.Command{
-		Name: "check", Usage: "check a settings file and name every mistake",
+		Name: "check", Usage: "check a settings file and report every mistake",
 		Description: "Example:\n  peridotpick-agent check --settings deploy/association/agent-01.json",
 		Flags:       []cli.Flag{settingsFlag()},
 		Action: func(_ context.Context, cmd *cli.Command) error {
--- a/cmd/peridotpick-agent/main.go
+++ b/cmd/peridotpick-agent/main.go
@@ -1,4 +1,5 @@
-// Command peridotpick-agent runs beside one backend server.
+// Command peridotpick-agent runs an agent: the process beside one backend server that starts there
+// the tasks that entries send.
 package main
 
 import (
@@ -14,20 +15,20 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	signal.Ignore(syscall.SIGHUP) // settings are read at the start; a changed file must not end the process
+	signal.Ignore(syscall.SIGHUP) // settings are read at startup only; a SIGHUP after a change of the file must not end the process
 	app := &cli.Command{
-		Name: "peridotpick-agent", Usage: "process beside one backend server",
+		Name: "peridotpick-agent", Usage: "agent, the process beside one backend server",
 		Commands: []*cli.Command{runCommand(), superviseCommand(), checkCommand()},
 	}
 	if err := app.Run(ctx, os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "peridotpick-agent:", err)
 		stop()
-		os.Exit(exitBadSettings)
+		os.Exit(exitError)
 	}
 }
 
-// exitBadSettings is the exit code of a process that could not start.
-const exitBadSettings = 2
+// exitError is the exit code after any error, such as invalid arguments or settings.
+const exitError = 2
 
 func settingsFlag() cli.Flag {
 	return &cli.StringFlag{Name: "settings", Required: true, Usage: "JSON file with the agent's settings"}
--- a/cmd/peridotpick-agent/supervise.go
+++ b/cmd/peridotpick-agent/supervise.go
@@ -20,8 +20,8 @@
 	"peridotpick.example/service/transport"
 )
 
-// profileFlag has profiles of the process served; without it a reader of the metrics
-// cannot cost processor time.
+// profileFlag enables CPU and heap profiles at the address of the metrics. They are disabled by
+// default, because taking one costs CPU time and whoever can read the metrics could take one.
 const profileFlag = "profile"
 
 func superviseCommand() *cli.Command {
@@ -29,12 +29,14 @@
 		Name: "supervise", Usage: "run an agent on the users' platform, until SIGTERM",
 		Description: "Reads the platform's settings file, whose path is in " + boot.PathVariable + ".",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: profileFlag, Usage: "serve processor and heap profiles beside the metrics, under /debug/pprof/"},
+			&cli.BoolFlag{Name: profileFlag, Usage: "serve CPU and heap profiles at the address of the metrics, under /debug/pprof/"},
 		},
 		Action: runSupervise,
 	}
 }
 
+// runSupervise runs an agent until ctx ends and it has drained. The metrics and the announcements
+// of the backend server are served until then.
 func runSupervise(ctx context.Context, command *cli.Command) error {
 	file, err := boot.Load()
 	if err != nil {
@@ -50,11 +52,11 @@
 		Worker:  worker.New(file.BackendServer, core.Standard().LookWait, log),
 	})
 	announcements := worker.NewAnnouncements(file.Name, a, log)
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	group, _ := errgroup.WithContext(work)
-	group.Go(func() error { return telemetry.Serve(work, file.Metrics(), registry, command.Bool(profileFlag)) })
-	group.Go(func() error { return announcements.Serve(work, file.Listen.Announce) })
+	group, _ := errgroup.WithContext(serveCtx)
+	group.Go(func() error { return telemetry.Serve(serveCtx, file.Metrics(), registry, command.Bool(profileFlag)) })
+	group.Go(func() error { return announcements.Serve(serveCtx, file.Listen.Announce) })
 	group.Go(func() error {
 		defer stop()
 		return a.Run(ctx)
@@ -62,16 +64,18 @@
 	return group.Wait()
 }
 
-// drainReserve is kept back from the grace.
+// drainReserve is the part of the grace period between SIGTERM and SIGKILL that is left for the
+// process to end after the drain timeout.
 const drainReserve = time.Second
 
+// superviseSettings returns the settings of an agent from the platform's settings file.
 func superviseSettings(file *boot.File) runner.Settings {
-	decisions := core.Standard()
-	decisions.Agent = file.Name
-	decisions.DrainsWithin = file.DrainsWithin(decisions.DrainsWithin)
-	times := file.Leases()
-	decisions.OwnerLease, decisions.WorkerLease, decisions.LongestLease = times.Owner, times.Worker, file.LongestLease()
+	coreSettings := core.Standard()
+	coreSettings.Agent = file.Name
+	coreSettings.DrainsWithin = file.DrainsWithin(coreSettings.DrainsWithin)
+	leaseTimes := file.Leases()
+	coreSettings.OwnerLease, coreSettings.WorkerLease, coreSettings.LongestLease = leaseTimes.Owner, leaseTimes.Worker, file.LongestLease()
 	return runner.Settings{
-		Name: file.Name, DataCentre: file.DataCentre, Seeds: file.EntrySeeds(), DrainTimeout: file.Grace() - drainReserve, Core: decisions,
+		Name: file.Name, DataCentre: file.DataCentre, Seeds: file.EntrySeeds(), DrainTimeout: file.Grace() - drainReserve, Core: coreSettings,
 	}
 }
--- a/cmd/peridotpick/admin.go
+++ b/cmd/peridotpick/admin.go
@@ -20,8 +20,8 @@
 
 const pathConfig = "/v1/admin/config"
 
-// show prints the answer to a GET, indented.
-func show(cmd *cli.Command, path string) error {
+// printGet sends a GET request and prints the JSON answer, indented.
+func printGet(cmd *cli.Command, path string) error {
 	client, err := newClient(cmd)
 	if err != nil {
 		return err
@@ -40,12 +40,12 @@
 
 func workerCommand() *cli.Command {
 	return &cli.Command{
-		Name: "worker", Usage: "look at workers and their backend servers",
+		Name: "worker", Usage: "inspect workers and their backend servers",
 		Commands: []*cli.Command{{
-			Name: "list", Usage: "list backend servers as an entry sees them, and sleeping workers",
+			Name: "list", Usage: "list the backend servers that an entry knows, and the sleeping workers",
 			Description: "Example:\n  peridotpick worker list --entry http://127.0.0.1:7001",
 			Flags:       clientFlags(),
-			Action:      func(_ context.Context, cmd *cli.Command) error { return show(cmd, "/v1/admin/workers") },
+			Action:      func(_ context.Context, cmd *cli.Command) error { return printGet(cmd, "/v1/admin/workers") },
 		}},
 	}
 }
@@ -64,20 +64,20 @@
 		Flags:       clientFlags(),
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if number := cmd.Args().First(); number != "" {
-				return show(cmd, pathConfig+"/history/"+number)
+				return printGet(cmd, pathConfig+"/history/"+number)
 			}
-			return show(cmd, pathConfig)
+			return printGet(cmd, pathConfig)
 		},
 	}
 }
 
 func configHistoryCommand() *cli.Command {
 	return &cli.Command{
-		Name: "history", Usage: "list who changed what, oldest first",
+		Name: "history", Usage: "list the versions with their authors, oldest first",
 		Description: "Example:\n  peridotpick config history --after 10",
 		Flags:       clientFlags(&cli.Uint64Flag{Name: "after", Usage: "list versions after this one"}),
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			return show(cmd, pathConfig+"/history?after="+strconv.FormatUint(cmd.Uint64("after"), 10))
+			return printGet(cmd, pathConfig+"/history?after="+strconv.FormatUint(cmd.Uint64("after"), 10))
 		},
 	}
 }
@@ -97,7 +97,9 @@
 	}
 }
 
-// sendDocument sends the file named by the argument.
+// sendDocument sends the file that the command's argument names; base is the version that the file
+// replaces, as the value of If-Match, or empty. With an error the reply is that of the entry, if
+// there is one.
 func sendDocument(cmd *cli.Command, method, path, base string) (*caller.Reply, error) {
 	client, name, err := clientAndArg(cmd, "FILE")
 	if err != nil {
@@ -114,7 +116,7 @@
 	return &cli.Command{
 		Name: "put", Usage: "replace a version of the configuration by a file", ArgsUsage: "FILE",
 		Description: "Example:\n  peridotpick config put --base 12 config.json\n" +
-			"If another change of version 12 won, its difference from the file is shown and nothing is changed.",
+			"If version 12 is no longer in force, nothing is changed, and the difference between the file and the version in force is shown.",
 		Flags: clientFlags(&cli.Uint64Flag{Name: "base", Required: true, Usage: "version that the file replaces; 0 if there is none"}),
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			reply, err := sendDocument(cmd, http.MethodPut, pathConfig, fmt.Sprintf("%q", strconv.FormatUint(cmd.Uint64("base"), 10)))
@@ -130,7 +132,7 @@
 	}
 }
 
-// printAccepted tells the version that a change was accepted as.
+// printAccepted prints the number of the version that a change was accepted as.
 func printAccepted(body []byte) error {
 	var version config.Version
 	if err := json.Unmarshal(body, &version); err != nil {
@@ -140,19 +142,21 @@
 	return nil
 }
 
-// printWinner shows how the version that won differs from the file.
+// printWinner prints how the version in force, which won over the file, differs from it.
 func printWinner(cmd *cli.Command, body []byte) {
 	var conflict struct {
 		Winner config.Version `json:"winner"`
 	}
-	mine, err := os.ReadFile(cmd.Args().First())
+	file, err := os.ReadFile(cmd.Args().First())
 	if err != nil || json.Unmarshal(body, &conflict) != nil {
 		return
 	}
 	fmt.Printf("version %d by %s is in force; difference from the file (-) to it (+):\n%s",
-		conflict.Winner.Number, conflict.Winner.Author, diffDocuments(mine, conflict.Winner.Document))
+		conflict.Winner.Number, conflict.Winner.Author, diffDocuments(file, conflict.Winner.Document))
 }
 
+// diffDocuments returns the difference between two JSON documents, from a (-) to b (+), whatever
+// their formatting.
 func diffDocuments(a, b []byte) string {
 	var left, right any
 	if json.Unmarshal(a, &left) != nil || json.Unmarshal(b, &right) != nil {
@@ -171,7 +175,7 @@
 			if err != nil {
 				return err
 			}
-			mine, err := os.ReadFile(name)
+			file, err := os.ReadFile(name)
 			if err != nil {
 				return errkind.NewField(errkind.InvalidRequest, "FILE", err.Error())
 			}
@@ -183,7 +187,7 @@
 			if err := json.Unmarshal(reply.Body, &version); err != nil {
 				return err
 			}
-			fmt.Print(diffDocuments(version.Document, mine))
+			fmt.Print(diffDocuments(version.Document, file))
 			return nil
 		},
 	}
--- a/cmd/peridotpick/capacity.go
+++ b/cmd/peridotpick/capacity.go
@@ -14,10 +14,10 @@
 
 func capacityCommand() *cli.Command {
 	return &cli.Command{
-		Name: "capacity", Usage: "measure how the cost of control grows, for docs/CAPACITY.md",
+		Name: "capacity", Usage: "measure how the cost of control grows with the size of a deployment, for docs/CAPACITY.md",
 		Description: "Examples:\n  peridotpick capacity\n  peridotpick capacity --sweep agents",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "sweep", Usage: "agents, entries, teams, jobs or changes; all if empty"},
+			&cli.StringFlag{Name: "sweep", Usage: "what grows: agents, entries, teams, jobs or changes; all in turn if empty"},
 			outputFlag(),
 		},
 		Action: runCapacity,
@@ -25,13 +25,13 @@
 }
 
 func runCapacity(ctx context.Context, cmd *cli.Command) error {
-	only := cmd.String("sweep")
-	known := only == ""
+	name := cmd.String("sweep")
+	found := name == ""
 	for _, sweep := range capacity.Sweeps() {
-		if only != "" && only != sweep.Name {
+		if name != "" && name != sweep.Name {
 			continue
 		}
-		known = true
+		found = true
 		samples, err := sweep.Run(ctx)
 		if err != nil {
 			return err
@@ -46,8 +46,8 @@
 			return err
 		}
 	}
-	if !known {
-		return errkind.NewField(errkind.InvalidRequest, "--sweep", only+": agents, entries, teams, jobs or changes")
+	if !found {
+		return errkind.NewField(errkind.InvalidRequest, "--sweep", name+": agents, entries, teams, jobs or changes")
 	}
 	return nil
 }
--- a/cmd/peridotpick/check.go
+++ b/cmd/peridotpick/check.go
@@ -14,13 +14,13 @@
 
 func checkCommand() *cli.Command {
 	return &cli.Command{
-		Name: "check", Usage: "check files of settings or configuration and name every mistake", ArgsUsage: "FILE...",
+		Name: "check", Usage: "check settings or configuration files and report every mistake", ArgsUsage: "FILE...",
 		Description: "Examples:\n  peridotpick check deploy/association/entry-hall-a-1.json\n" +
 			"  peridotpick check --kind agent deploy/association/agent-01.json\n" +
 			"  peridotpick check --kind config deploy/association/config.json",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "kind", Value: "entry", Usage: "entry, agent or config"}},
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			check, err := checker(cmd.String("kind"))
+			check, err := checkerFor(cmd.String("kind"))
 			if err != nil {
 				return err
 			}
@@ -37,7 +37,9 @@
 	}
 }
 
-func checker(kind string) (func([]byte) error, error) {
+// checkerFor returns the function that checks the content of a file of a kind: entry, agent or
+// config.
+func checkerFor(kind string) (func([]byte) error, error) {
 	switch kind {
 	case "entry":
 		return func(data []byte) error { _, err := settings.ParseEntry(data); return err }, nil
@@ -49,6 +51,7 @@
 	return nil, errkind.NewField(errkind.InvalidRequest, "--kind", kind+": entry, agent or config")
 }
 
+// checkFile checks a file and prints its path if it is valid.
 func checkFile(path string, check func([]byte) error) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/peridotpick/client.go
+++ b/cmd/peridotpick/client.go
@@ -9,16 +9,17 @@
 	"peridotpick.example/lab/caller"
 )
 
-// clientFlags are those of every command that talks to an entry.
+// clientFlags returns the flags of every command that sends requests to an entry, and more.
 func clientFlags(more ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
-		&cli.StringFlag{Name: "entry", Value: "http://127.0.0.1:7001", Sources: cli.EnvVars("PERIDOTPICK_ENTRY"), Usage: "base URL of an entry or of the balancer"},
+		&cli.StringFlag{Name: "entry", Value: "http://127.0.0.1:7001", Sources: cli.EnvVars("PERIDOTPICK_ENTRY"), Usage: "base URL of an entry or of the load balancer"},
 		&cli.StringFlag{Name: "token", Sources: cli.EnvVars("PERIDOTPICK_TOKEN"), Usage: "bearer token"},
-		&cli.StringFlag{Name: "team", Usage: "team, in development mode instead of a token"},
+		&cli.StringFlag{Name: "team", Usage: "name of the team; in development mode, in place of a token"},
 		outputFlag(),
 	}, more...)
 }
 
+// newClient returns a client for the entry that the flags of a command name.
 func newClient(cmd *cli.Command) (*caller.Client, error) {
 	base := strings.TrimSuffix(cmd.String("entry"), "/")
 	if !strings.HasPrefix(base, "http://") && !strings.HasPrefix(base, "https://") {
@@ -30,7 +31,7 @@
 	return caller.New(strings.TrimPrefix(base, "http://"), cmd.String("team")), nil
 }
 
-// clientAndArg returns a client and the single argument of a command.
+// clientAndArg returns a client and the only argument of a command; name is that of the argument.
 func clientAndArg(cmd *cli.Command, name string) (*caller.Client, string, error) {
 	arg, err := oneArg(cmd, name)
 	if err != nil {
@@ -40,7 +41,7 @@
 	return client, arg, err
 }
 
-// oneArg returns the single argument of a command.
+// oneArg returns the only argument of a command; name is that of the argument.
 func oneArg(cmd *cli.Command, name string) (string, error) {
 	if cmd.Args().Len() != 1 {
 		return "", errkind.NewField(errkind.InvalidRequest, name, "exactly one argument is required")
--- a/cmd/peridotpick/datacentre.go
+++ b/cmd/peridotpick/datacentre.go
@@ -16,26 +16,27 @@
 
 func dataCentreCommand() *cli.Command {
 	return &cli.Command{
-		Name: "data-centre", Usage: "drain data centres, and take them back",
+		Name: "data-centre", Usage: "drain data centres, or end their drain",
 		Commands: []*cli.Command{drainCommand("drain", true), drainCommand("undrain", false)},
 	}
 }
 
 func drainCommand(name string, drain bool) *cli.Command {
-	usage := "have backend servers of a data centre get nothing new; what runs there ends"
+	usage := "give the backend servers of a data centre no new tasks; running tasks end"
 	if !drain {
-		usage = "have backend servers of a drained data centre get work again"
+		usage = "give the backend servers of a drained data centre tasks again"
 	}
 	return &cli.Command{
 		Name: name, Usage: usage, ArgsUsage: "DATA_CENTRE",
 		Description: "Example:\n  peridotpick data-centre " + name + " hall-a\n" +
-			"It changes the configuration in force. If another change wins, nothing is changed: call again.",
+			"Replaces the configuration in force. If another change replaces it first, nothing is changed: repeat the command.",
 		Flags:  clientFlags(),
 		Action: func(_ context.Context, cmd *cli.Command) error { return setDrained(cmd, drain) },
 	}
 }
 
-// setDrained replaces the version in force by one with or without a drained data centre.
+// setDrained replaces the configuration in force by one in which the data centre that the command's
+// argument names is drained, or is not.
 func setDrained(cmd *cli.Command, drain bool) error {
 	client, name, err := clientAndArg(cmd, "DATA_CENTRE")
 	if err != nil {
@@ -54,7 +55,7 @@
 		return err
 	}
 	if !changed {
-		fmt.Printf("version %d says so already\n", base.Number)
+		fmt.Printf("version %d is in force and needs no change\n", base.Number)
 		return nil
 	}
 	if reply, err = client.Raw(http.MethodPut, pathConfig, fmt.Sprintf("%q", strconv.FormatUint(base.Number, 10)), document); err != nil {
@@ -63,12 +64,12 @@
 	return printAccepted(reply.Body)
 }
 
-// withDrained returns a document with or without a drained data centre, all else as it
-// was, and whether that is a change.
+// withDrained returns the document with a data centre drained, or not drained, and all else
+// unchanged, and whether it differs from the given one.
 func withDrained(document json.RawMessage, name string, drain bool) (edited json.RawMessage, changed bool, err error) {
 	fields := make(map[string]json.RawMessage)
 	if err := json.Unmarshal(document, &fields); err != nil {
-		return nil, false, errkind.NewField(errkind.InvalidRequest, "/", "the configuration in force is no JSON object")
+		return nil, false, errkind.NewField(errkind.InvalidRequest, "/", "the configuration in force is not a JSON object")
 	}
 	var drained []string
 	if raw := fields["drained"]; raw != nil {
@@ -82,7 +83,7 @@
 	if drain {
 		drained = append(drained, name)
 	} else {
-		drained = slices.DeleteFunc(drained, func(have string) bool { return have == name })
+		drained = slices.DeleteFunc(drained, func(drainedName string) bool { return drainedName == name })
 	}
 	if fields["drained"], err = json.Marshal(drained); err != nil {
 		return nil, false, err
--- a/cmd/peridotpick/datacentre_test.go
+++ b/cmd/peridotpick/datacentre_test.go
@@ -7,6 +7,9 @@
 	"github.com/matryer/is"
 )
 
+// TestDrainChangesNothingElse drains data centres and ends a drain, and checks that the other
+// fields of the document stay, that a repetition is no change, and that a document that is not an
+// object is an error.
 func TestDrainChangesNothingElse(t *testing.T) {
 	is := is.New(t)
 	document := json.RawMessage(`{"teams":[{"name":"a"}],"services":[],"policy":{"responseWeight":0.5}}`)
--- a/cmd/peridotpick/demo.go
+++ b/cmd/peridotpick/demo.go
@@ -14,10 +14,10 @@
 func demoCommand() *cli.Command {
 	return &cli.Command{
 		Name:        "demo",
-		Usage:       "run both users' examples through a whole deployment in this process",
+		Usage:       "run the example jobs of both users on a whole deployment within this process",
 		Description: "Example:\n  peridotpick demo --log info",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "log", Value: "error", Usage: "lowest level logged to standard error"},
+			&cli.StringFlag{Name: "log", Value: "error", Usage: "lowest level of the lines logged to standard error"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			level, err := zerolog.ParseLevel(cmd.String("log"))
--- a/cmd/peridotpick/dispatch.go
+++ b/cmd/peridotpick/dispatch.go
@@ -21,8 +21,8 @@
 	"peridotpick.example/service/transport"
 )
 
-// profileFlag has profiles of the process served; without it a reader of the metrics
-// cannot cost processor time.
+// profileFlag enables CPU and heap profiles at the address of the metrics. They are disabled by
+// default, because taking one costs CPU time and whoever can read the metrics could take one.
 const profileFlag = "profile"
 
 func dispatchCommand() *cli.Command {
@@ -30,12 +30,14 @@
 		Name: "dispatch", Usage: "run an entry on the users' platform, until SIGTERM",
 		Description: "Reads the platform's settings file, whose path is in " + boot.PathVariable + ".",
 		Flags: []cli.Flag{
-			&cli.BoolFlag{Name: profileFlag, Usage: "serve processor and heap profiles beside the metrics, under /debug/pprof/"},
+			&cli.BoolFlag{Name: profileFlag, Usage: "serve CPU and heap profiles at the address of the metrics, under /debug/pprof/"},
 		},
 		Action: runDispatch,
 	}
 }
 
+// runDispatch runs an entry until ctx ends and, after that, the open requests of callers have ended
+// or the grace period is over. The metrics are served until then.
 func runDispatch(ctx context.Context, command *cli.Command) error {
 	file, err := boot.Load()
 	if err != nil {
@@ -51,11 +53,11 @@
 		return err
 	}
 	callers := ingress.New(e, sink.For(logs.HTTP))
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	group, _ := errgroup.WithContext(work)
-	group.Go(func() error { return e.Run(work) })
-	group.Go(func() error { return telemetry.Serve(work, file.Metrics(), registry, command.Bool(profileFlag)) })
+	group, _ := errgroup.WithContext(serveCtx)
+	group.Go(func() error { return e.Run(serveCtx) })
+	group.Go(func() error { return telemetry.Serve(serveCtx, file.Metrics(), registry, command.Bool(profileFlag)) })
 	group.Go(func() error {
 		defer stop()
 		return callers.Serve(ctx, file.Listen.Callers, file.Listen.Ready, file.Grace())
@@ -63,35 +65,40 @@
 	return group.Wait()
 }
 
-// Times of an entry that no settings name.
+// Settings of an entry that the platform's settings file does not contain.
 const (
-	// ownFor outlasts the outages of the store that are usual there, 4.5 s: a longer
-	// one stops the durable jobs of the entries it reaches.
-	ownFor = 5500 * time.Millisecond
-	// ownerSilent is five missed messages between entries.
-	ownerSilent = 2 * time.Second
-	// keepSlack lets callers ask a little later than they may.
-	keepSlack = 5 * time.Second
-	// maxOpen bounds an entry's durable jobs: at most some 10 KB each.
-	maxOpen = 5000
-	// writeShare is the part of the store's writes that durable jobs may take; others
-	// are the registry's and the operator's.
+	// ownershipTTL is how long an ownership confirmation is valid. It is longer than the usual
+	// outages of the store, 4.5 s; a longer outage stops the durable jobs of the entries that it
+	// affects.
+	ownershipTTL = 5500 * time.Millisecond
+	// ownerSilenceTimeout is the silence after which another entry is taken to be gone: five missed
+	// messages between entries.
+	ownerSilenceTimeout = 2 * time.Second
+	// retentionSlack is how much longer than the platform requires the state of an ended job is
+	// kept, so that callers who ask a little late still get it.
+	retentionSlack = 5 * time.Second
+	// maxOpenJobs limits the number of an entry's durable jobs that have not ended. Each takes at
+	// most about 10 KB.
+	maxOpenJobs = 5000
+	// writeShare is the fraction of the store's writes per second that durable jobs may use. The
+	// rest is left to the registry and to operators.
 	writeShare = 0.8
 )
 
+// dispatchSettings returns the settings of an entry from the platform's settings file.
 func dispatchSettings(file *boot.File) batch.Settings {
-	decisions := core.Standard()
-	decisions.DataCentre = file.DataCentre
-	times := file.Leases()
-	decisions.OwnerLease, decisions.WorkerLease = times.Owner, times.RunsOver
-	decisions.RemoteFactor = file.Bounds.RemoteFactor
+	coreSettings := core.Standard()
+	coreSettings.DataCentre = file.DataCentre
+	leaseTimes := file.Leases()
+	coreSettings.OwnerLease, coreSettings.WorkerLease = leaseTimes.Owner, leaseTimes.RunsOver
+	coreSettings.RemoteFactor = file.Bounds.RemoteFactor
 	return batch.Settings{
 		WritesPerSecond: file.Platform.WritesPerSecond * writeShare,
 		Ledger: ledger.Settings{
-			OwnFor: ownFor, RunsOver: times.Owner + times.RunsOver, SilentAfter: ownerSilent,
-			KeepEnded: file.KeepEnded() + keepSlack, MaxOpen: maxOpen,
+			OwnFor: ownershipTTL, RunsOver: leaseTimes.Owner + leaseTimes.RunsOver, SilentAfter: ownerSilenceTimeout,
+			KeepEnded: file.KeepEnded() + retentionSlack, MaxOpen: maxOpenJobs,
 		},
 		Name: file.Name, Address: file.Internal(file.IP), Seeds: file.EntrySeeds(),
-		Core: decisions,
+		Core: coreSettings,
 	}
 }
--- a/cmd/peridotpick/emulate.go
+++ b/cmd/peridotpick/emulate.go
@@ -16,35 +16,35 @@
 func emulateCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "emulate",
-		Usage: "play loads and faults over the real decision code in virtual time",
+		Usage: "simulate loads and faults in virtual time, with the real decision code",
 		Description: "Examples:\n" +
 			"  peridotpick emulate --scenario burst --seeds 20\n" +
 			"  peridotpick emulate --without yield --compare --seeds 20\n" +
-			"  peridotpick emulate --deployment mine.json --scenario mine-too.json --report report/\n" +
-			"Without --scenario all packaged ones are played.",
+			"  peridotpick emulate --deployment my-deployment.json --scenario my-scenario.json --report report/\n" +
+			"Without --scenario, all built-in scenarios are simulated.",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "deployment", Value: "small", Usage: "name of a packaged deployment, or a JSON file"},
-			&cli.StringSliceFlag{Name: "scenario", Usage: "names of packaged scenarios, or JSON files"},
+			&cli.StringFlag{Name: "deployment", Value: "small", Usage: "name of a built-in deployment, or a JSON file"},
+			&cli.StringSliceFlag{Name: "scenario", Usage: "names of built-in scenarios, or JSON files"},
 			&cli.IntFlag{Name: "seeds", Value: 5, Usage: "number of seeds, 1 to 10000"},
 			&cli.Uint64Flag{Name: "first", Value: 1, Usage: "first seed"},
-			&cli.StringSliceFlag{Name: "without", Usage: "mechanisms to switch off"},
-			&cli.BoolFlag{Name: "compare", Usage: "set the policy without them against the full one, seed by seed"},
-			&cli.IntFlag{Name: "jobs", Usage: "plays at a time; half of the processors if 0"},
-			&cli.BoolFlag{Name: "story", Usage: "tell each decision of the first seed instead"},
-			&cli.BoolFlag{Name: "list", Usage: "list deployments, scenarios, troubles and mechanisms"},
-			&cli.StringFlag{Name: "report", Usage: "folder for pictures (SVG)"},
+			&cli.StringSliceFlag{Name: "without", Usage: "mechanisms to disable"},
+			&cli.BoolFlag{Name: "compare", Usage: "compare the policy without these mechanisms with the full one, seed by seed"},
+			&cli.IntFlag{Name: "jobs", Usage: "trials that run at the same time; half the number of CPUs if 0"},
+			&cli.BoolFlag{Name: "story", Usage: "print each decision and fault of the first seed instead"},
+			&cli.BoolFlag{Name: "list", Usage: "list deployments, scenarios, faults and mechanisms"},
+			&cli.StringFlag{Name: "report", Usage: "folder for plots (SVG)"},
 			outputFlag(),
 		},
 		Action: runEmulate,
 	}
 }
 
-// maxSeeds bounds an experiment to what a machine plays in an hour or so.
+// maxSeeds limits an experiment to about an hour of computing.
 const maxSeeds = 10000
 
 func runEmulate(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Bool("list") {
-		return listEmulator()
+		return printLists()
 	}
 	if n := cmd.Int("seeds"); n < 1 || n > maxSeeds {
 		return errkind.NewField(errkind.InvalidRequest, "--seeds", fmt.Sprintf("%d: from 1 to %d", n, maxSeeds))
@@ -57,24 +57,25 @@
 	if err != nil {
 		return errkind.NewField(errkind.InvalidRequest, "--without", err.Error())
 	}
-	scenarios, err := scenariosOf(cmd)
+	scenarios, err := loadScenarios(cmd)
 	if err != nil {
 		return err
 	}
 	if cmd.Bool("story") {
-		return tellStory(d, scenarios[0], without, cmd.Uint64("first"))
+		return printEventLog(d, scenarios[0], without, cmd.Uint64("first"))
 	}
 	if cmd.Bool("compare") {
-		return compareEmulated(ctx, cmd, d, scenarios, without)
+		return comparePolicies(ctx, cmd, d, scenarios, without)
 	}
-	outcomes, err := emulateAll(ctx, cmd, d, scenarios, without)
+	outcomes, err := simulateAll(ctx, cmd, d, scenarios, without)
 	if err != nil {
 		return err
 	}
 	return reportOutcomes(cmd, outcomes)
 }
 
-func scenariosOf(cmd *cli.Command) ([]*emulator.Scenario, error) {
+// loadScenarios loads the scenarios that the flags of a command name, or all built-in ones.
+func loadScenarios(cmd *cli.Command) ([]*emulator.Scenario, error) {
 	names := cmd.StringSlice("scenario")
 	if len(names) == 0 {
 		names = emulator.ScenarioNames()
@@ -90,7 +91,9 @@
 	return list, nil
 }
 
-func listEmulator() error {
+// printLists prints the names of the built-in deployments and scenarios, the faults and the
+// mechanisms.
+func printLists() error {
 	fmt.Println("deployments:", emulator.DeploymentNames())
 	fmt.Println("scenarios:", emulator.ScenarioNames())
 	fmt.Println("troubles:", emulator.FaultNames())
@@ -98,14 +101,16 @@
 	return nil
 }
 
-func tellStory(d *emulator.Deployment, s *emulator.Scenario, p policy.Policy, seed uint64) error {
+// printEventLog simulates one trial and prints its decisions and faults.
+func printEventLog(d *emulator.Deployment, s *emulator.Scenario, p policy.Policy, seed uint64) error {
 	for _, line := range emulator.Play(d, s, p, seed, true).Story() {
 		fmt.Println(line)
 	}
 	return nil
 }
 
-func emulateAll(ctx context.Context, cmd *cli.Command, d *emulator.Deployment, list []*emulator.Scenario, p policy.Policy) ([]*emulator.Outcome, error) {
+// simulateAll runs an experiment, a trial for each seed, for each scenario.
+func simulateAll(ctx context.Context, cmd *cli.Command, d *emulator.Deployment, list []*emulator.Scenario, p policy.Policy) ([]*emulator.Outcome, error) {
 	var outcomes []*emulator.Outcome
 	for _, s := range list {
 		e := emulator.Experiment{
@@ -120,7 +125,8 @@
 	return outcomes, nil
 }
 
-// reportOutcomes prints and draws outcomes. A broken promise is an error.
+// reportOutcomes prints outcomes, and plots them if a folder for the report is given. The error
+// tells if a guarantee was violated in a trial.
 func reportOutcomes(cmd *cli.Command, outcomes []*emulator.Outcome) error {
 	if cmd.String("output") == outputJSON {
 		if err := json.NewEncoder(os.Stdout).Encode(outcomes); err != nil {
@@ -135,33 +141,35 @@
 			return err
 		}
 	}
-	var broken []string
+	var violations []string
 	for _, o := range outcomes {
 		if dir := cmd.String("report"); dir != "" {
 			if err := o.Draw(dir); err != nil {
 				return err
 			}
 		}
-		broken = append(broken, o.Broken()...)
+		violations = append(violations, o.Broken()...)
 	}
-	if len(broken) > 0 {
-		return errkind.New(errkind.Internal, fmt.Sprintf("%d promises broken, the first: %s", len(broken), broken[0]))
+	if len(violations) > 0 {
+		return errkind.New(errkind.Internal, fmt.Sprintf("%d guarantees violated, the first: %s", len(violations), violations[0]))
 	}
 	return nil
 }
 
-func compareEmulated(ctx context.Context, cmd *cli.Command, d *emulator.Deployment, list []*emulator.Scenario, without policy.Policy) error {
-	full, err := emulateAll(ctx, cmd, d, list, policy.Policy{})
+// comparePolicies runs the experiments with all mechanisms and without some, and prints the
+// comparisons.
+func comparePolicies(ctx context.Context, cmd *cli.Command, d *emulator.Deployment, list []*emulator.Scenario, without policy.Policy) error {
+	full, err := simulateAll(ctx, cmd, d, list, policy.Policy{})
 	if err != nil {
 		return err
 	}
-	other, err := emulateAll(ctx, cmd, d, list, without)
+	reduced, err := simulateAll(ctx, cmd, d, list, without)
 	if err != nil {
 		return err
 	}
 	var comparisons []*emulator.Comparison
 	for i := range full {
-		comparisons = append(comparisons, emulator.Compare(full[i], other[i]))
+		comparisons = append(comparisons, emulator.Compare(full[i], reduced[i]))
 	}
 	if cmd.String("output") == outputJSON {
 		return json.NewEncoder(os.Stdout).Encode(comparisons)
--- a/cmd/peridotpick/job.go
+++ b/cmd/peridotpick/job.go
@@ -16,7 +16,7 @@
 
 func jobCommand() *cli.Command {
 	return &cli.Command{
-		Name: "job", Usage: "submit jobs and ask for them",
+		Name: "job", Usage: "submit, query, list and cancel jobs",
 		Commands: []*cli.Command{jobSubmitCommand(), jobGetCommand(), jobCancelCommand(), jobListCommand()},
 	}
 }
@@ -54,6 +54,7 @@
 	}
 }
 
+// readJob decodes the job in the file that the command's argument names, or from standard input.
 func readJob(cmd *cli.Command) (caller.Job, error) {
 	var job caller.Job
 	path, err := oneArg(cmd, "FILE")
@@ -75,6 +76,7 @@
 	return job, nil
 }
 
+// printResults prints the results of a job by task, or that it is still running.
 func printResults(cmd *cli.Command, results []json.RawMessage, done bool) error {
 	if cmd.String("output") == outputJSON {
 		return json.NewEncoder(os.Stdout).Encode(struct {
@@ -94,9 +96,9 @@
 
 func jobGetCommand() *cli.Command {
 	return &cli.Command{
-		Name: "get", Usage: "ask for the answer of a job", ArgsUsage: "KEY",
+		Name: "get", Usage: "get the answer of a job", ArgsUsage: "KEY",
 		Description: "Example:\n  peridotpick job get --team association --wait 10s scans-17",
-		Flags:       clientFlags(&cli.DurationFlag{Name: "wait", Usage: "wait for the end, at most 30s"}),
+		Flags:       clientFlags(&cli.DurationFlag{Name: "wait", Usage: "how long to wait for the end of the job, at most 30s"}),
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			client, key, err := clientAndArg(cmd, "KEY")
 			if err != nil {
@@ -140,10 +142,10 @@
 		Name: "list", Usage: "list the team's jobs by key",
 		Description: "Example:\n  peridotpick job list --team association --after scans-17 --limit 50",
 		Flags: clientFlags(
-			&cli.StringFlag{Name: "after", Usage: "list keys after this one"},
-			&cli.IntFlag{Name: "limit", Value: 100, Usage: "most jobs listed, at most 1000"}),
+			&cli.StringFlag{Name: "after", Usage: "list the jobs with keys after this one"},
+			&cli.IntFlag{Name: "limit", Value: 100, Usage: "number of jobs to list at most, up to 1000"}),
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			return show(cmd, fmt.Sprintf("/v1/jobs?after=%s&limit=%d", cmd.String("after"), cmd.Int("limit")))
+			return printGet(cmd, fmt.Sprintf("/v1/jobs?after=%s&limit=%d", cmd.String("after"), cmd.Int("limit")))
 		},
 	}
 }
--- a/cmd/peridotpick/load.go
+++ b/cmd/peridotpick/load.go
@@ -20,28 +20,28 @@
 func loadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "load",
-		Usage: "drive a loopback deployment with seeded arrivals and faults, and report",
+		Usage: "run a deployment on loopback under generated load and faults, and report on it",
 		Description: "Examples:\n" +
 			"  peridotpick load --user association --load 0.7 --duration 20s --compare\n" +
 			"  peridotpick load --user licensing --load 0.9 --faults faults.json --report report/",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "user", Value: "association", Usage: "deployment and mix: association or licensing"},
-			&cli.FloatFlag{Name: "load", Value: 0.7, Usage: "load as a part of capacity"},
+			&cli.StringFlag{Name: "user", Value: "association", Usage: "deployment and mix of tasks: association or licensing"},
+			&cli.FloatFlag{Name: "load", Value: 0.7, Usage: "load as a fraction of the capacity"},
 			&cli.StringFlag{Name: "arrivals", Value: "steady", Usage: "steady, bursty, diurnal, step, or a JSON file to replay"},
-			&cli.DurationFlag{Name: "duration", Value: 10 * time.Second, Usage: "length of the arrivals"},
+			&cli.DurationFlag{Name: "duration", Value: 10 * time.Second, Usage: "how long requests arrive"},
 			&cli.DurationFlag{Name: "deadline", Value: 20 * time.Second, Usage: "deadline of each request"},
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of arrivals and choices"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "seed of the arrivals and of random choices"},
 			&cli.StringFlag{Name: "policy", Usage: "finish (the product's), random, round-robin, least-loaded or two-choices"},
-			&cli.BoolFlag{Name: "compare", Usage: "run every policy under the same arrivals"},
+			&cli.BoolFlag{Name: "compare", Usage: "run every policy with the same arrivals"},
 			&cli.StringFlag{Name: "faults", Usage: "JSON file with a schedule of faults"},
-			&cli.FloatFlag{Name: "flood", Usage: "load of a second, flooding team, as a part of capacity"},
+			&cli.FloatFlag{Name: "flood", Usage: "load of a second team that floods the deployment, as a fraction of the capacity"},
 			&cli.FloatFlag{Name: "weight", Value: -1, Usage: "response weight 0 to 1 in place of the deployment's"},
-			&cli.FloatFlag{Name: "away-margin", Value: -1, Usage: "free slots required beyond one at agents whose home is another entry"},
-			&cli.FloatFlag{Name: "spare", Value: -1, Usage: "slots at each agent that a team over its share leaves free"},
+			&cli.FloatFlag{Name: "away-margin", Value: -1, Usage: "free slots, beyond one, that agents whose home is another entry must have"},
+			&cli.FloatFlag{Name: "spare", Value: -1, Usage: "slots at each agent that a team above its share leaves free"},
 			&cli.IntFlag{Name: "entries", Usage: "number of entries in place of the deployment's"},
 			&cli.IntFlag{Name: "asleep", Usage: "workers asleep at the start"},
-			&cli.FloatFlag{Name: "misdeclared", Value: 1, Usage: "factor by which the assumed run time is wrong"},
-			&cli.StringFlag{Name: "report", Usage: "folder for report.json, plots and a page"},
+			&cli.FloatFlag{Name: "misdeclared", Value: 1, Usage: "factor by which the assumed run time differs from the true one"},
+			&cli.StringFlag{Name: "report", Usage: "folder for report.json, plots and an HTML page"},
 			outputFlag(),
 		},
 		Action: runLoad,
@@ -67,7 +67,7 @@
 		}
 		reports = append(reports, report)
 		if ctx.Err() != nil {
-			break // interrupted: report what there is
+			break // interrupted: report what was measured so far
 		}
 	}
 	if dir := cmd.String("report"); dir != "" {
@@ -81,6 +81,7 @@
 	return load.Print(os.Stdout, reports)
 }
 
+// loadOptions returns the options of a run from the flags of a command.
 func loadOptions(cmd *cli.Command) (load.Options, error) {
 	var o load.Options
 	switch cmd.String("user") {
@@ -115,6 +116,8 @@
 	return o, planLoad(cmd, &o)
 }
 
+// checkPolicy returns an error if there is no policy with a name; empty stands for the product's
+// own.
 func checkPolicy(name string) error {
 	if name == "" {
 		return nil
@@ -127,7 +130,7 @@
 	return errkind.NewField(errkind.InvalidRequest, "--policy", fmt.Sprintf("%q is not one of %v", name, rank.Policies()))
 }
 
-// planLoad draws the arrivals and reads the faults.
+// planLoad generates or reads the arrivals, and reads the faults.
 func planLoad(cmd *cli.Command, o *load.Options) error {
 	slots := o.Shape.Agents * o.Shape.Slots
 	var err error
@@ -140,7 +143,7 @@
 		}
 	}
 	if flood := cmd.Float("flood"); flood > 0 {
-		o.Flood = load.Plan(o.Mix, load.Steady, flood, o.Duration, slots, o.Seed+floodSeed)
+		o.Flood = load.Plan(o.Mix, load.Steady, flood, o.Duration, slots, o.Seed+floodSeedOffset)
 		o.Shape.Document.Teams = append(o.Shape.Document.Teams, config.Team{Name: load.FloodTeam, Weight: 1})
 	}
 	if path := cmd.String("faults"); path != "" {
@@ -149,5 +152,6 @@
 	return err
 }
 
-// floodSeed separates the arrivals of the flooding team.
-const floodSeed = 1_000_000
+// floodSeedOffset is added to the seed for the arrivals of the flooding team, so that they differ
+// from those of the other teams.
+const floodSeedOffset = 1_000_000
--- a/cmd/peridotpick/main.go
+++ b/cmd/peridotpick/main.go
@@ -1,4 +1,5 @@
-// Command peridotpick runs entries and carries the commands of callers and operators.
+// Command peridotpick runs entries, and has the commands of callers and operators and those for
+// tests and experiments.
 package main
 
 import (
@@ -18,7 +19,7 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	signal.Ignore(syscall.SIGHUP) // settings are read at the start; a changed file must not end the process
+	signal.Ignore(syscall.SIGHUP) // settings are read at startup only; a SIGHUP after a change of the file must not end the process
 	if err := newApp().Run(ctx, os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "peridotpick:", err)
 		stop()
--- a/cmd/peridotpick/output.go
+++ b/cmd/peridotpick/output.go
@@ -9,7 +9,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Output formats.
+// Values of the output flag.
 const (
 	outputText = "text"
 	outputJSON = "json"
@@ -22,8 +22,8 @@
 // barWidth is the width of a progress bar in characters.
 const barWidth = 30
 
-// progressBar returns a function that draws progress on a terminal, or nil if
-// standard error is none.
+// progressBar returns a function that draws a progress bar on standard error when it is called with
+// the number of items done, or nil if standard error is not a terminal or total is 0.
 func progressBar(title string, total int) func(int) {
 	if !isatty.IsTerminal(os.Stderr.Fd()) || total == 0 {
 		return nil
--- a/cmd/peridotpick/standins.go
+++ b/cmd/peridotpick/standins.go
@@ -11,14 +11,14 @@
 	"peridotpick.example/lab/platformstandin"
 )
 
-// platformCommand runs the platform's stand-in, to try a deployment by hand.
+// platformCommand runs a fake of the platform, to try a deployment by hand.
 func platformCommand() *cli.Command {
 	return &cli.Command{
-		Name: "platform-standin", Usage: "run an in-memory stand-in of the platform, for trials only",
+		Name: "platform-standin", Usage: "run a fake of the platform in memory, for tests by hand only",
 		Description: "Example:\n  peridotpick platform-standin --listen 127.0.0.1:7900",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:7900", Usage: "IP:port"},
-			&cli.DurationFlag{Name: "write-latency", Value: 5 * time.Millisecond, Usage: "time of a synced write"},
+			&cli.DurationFlag{Name: "write-latency", Value: 5 * time.Millisecond, Usage: "latency of a synced write"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			l, err := net.Listen("tcp", cmd.String("listen"))
@@ -34,10 +34,10 @@
 	}
 }
 
-// backendCommand runs the stand-in of a backend server.
+// backendCommand runs a fake of a backend server, to try a deployment by hand.
 func backendCommand() *cli.Command {
 	return &cli.Command{
-		Name: "backend-standin", Usage: "run a stand-in of a backend server, for trials only",
+		Name: "backend-standin", Usage: "run a fake of a backend server, for tests by hand only",
 		Description: "Example:\n  peridotpick backend-standin --listen 127.0.0.1:8001",
 		Flags:       []cli.Flag{&cli.StringFlag{Name: "listen", Value: "127.0.0.1:8001", Usage: "IP:port"}},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
