--- a/cmd/peridotpick/load.go
+++ b/cmd/peridotpick/load.go
@@ -134,11 +134,11 @@
 func planLoad(cmd *cli.Command, o *load.Options) error {
 	slots := o.Shape.Agents * o.Shape.Slots
 	var err error
-	switch shape := load.Shape(cmd.String("arrivals")); shape {
+	switch pattern := load.Shape(cmd.String("arrivals")); pattern {
 	case load.Steady, load.Bursty, load.Diurnal, load.Step:
-		o.Plan = load.Plan(o.Mix, shape, cmd.Float("load"), o.Duration, slots, o.Seed)
+		o.Plan = load.Plan(o.Mix, pattern, cmd.Float("load"), o.Duration, slots, o.Seed)
 	default:
-		if o.Plan, err = load.Replay(string(shape)); err != nil {
+		if o.Plan, err = load.Replay(string(pattern)); err != nil {
 			return err
 		}
 	}
