--- a/lab/emulator/bench_test.go
+++ b/lab/emulator/bench_test.go
@@ -6,10 +6,10 @@
 	"peridotpick.example/core/policy"
 )
 
-func BenchmarkPlay(b *testing.B)      { benchmarkPlay(b, "small", "burst") }
-func BenchmarkPlayLarge(b *testing.B) { benchmarkPlay(b, "large", "calm") }
+func BenchmarkSimulate(b *testing.B)      { benchmarkSimulate(b, "small", "burst") }
+func BenchmarkSimulateLarge(b *testing.B) { benchmarkSimulate(b, "large", "calm") }
 
-func benchmarkPlay(b *testing.B, deployment, scenario string) {
+func benchmarkSimulate(b *testing.B, deployment, scenario string) {
 	d, err := LoadDeployment(deployment)
 	if err != nil {
 		b.Fatal(err)
--- a/lab/emulator/callers.go
+++ b/lab/emulator/callers.go
@@ -13,41 +13,42 @@
 	"peridotpick.example/wire/runs"
 )
 
-// jobSpec is a job as its caller and the workers know it.
+// jobSpec is a job as its caller submits it and as workers run it.
 type jobSpec struct {
 	name  string
 	queue *catalog.Queue
 	steps []batch.Step
-	// run returns how long a worker takes for a start, and whether it fails.
-	run func(key runs.Key) (time.Duration, bool)
-	// crashes tells whether a run crashes its worker, and after which time; nil if none does.
-	crashes func(key runs.Key) (time.Duration, bool)
-	// patience is how long the caller waits for an answer.
-	patience time.Duration
-	durable  bool
-	// attempts is how often the caller hands the job in at most.
-	attempts int
-	// returns is how often it comes back after a refusal.
-	returns int
-	// leavesAfter is when the caller gives up early; 0 if it does not.
-	leavesAfter time.Duration
-	// choose returns the entry for the next attempt, or nil if none is in reach.
-	choose func() *entryProcess
-	// record is what became of it; nil if nobody asks.
-	record *record
+	// taskWork returns the work of a run, as its duration at full speed, and whether it fails.
+	taskWork func(key runs.Key) (time.Duration, bool)
+	// crashDelay returns the time after its start at which a run crashes its worker, and whether it
+	// does. It is nil if no run crashes its worker.
+	crashDelay func(key runs.Key) (time.Duration, bool)
+	// timeout is how long the caller waits for an answer.
+	timeout time.Duration
+	durable bool
+	// attempts is the number of submissions that the caller has left.
+	submissionsLeft int
+	// retriesAfterRefusal is how often the caller submits the job again after a refusal.
+	retriesAfterRefusal int
+	// cancelAfter is the time after which the caller cancels the job, 0 for never.
+	cancelAfter time.Duration
+	// nextEntry returns the entry for the next submission, or nil if there is none.
+	nextEntry func() *entryProcess
+	// record receives the outcome of the job; nil if it is not recorded.
+	record *jobRecord
 }
 
-// needOf returns the room that a task needs.
+// needOf returns the resources that a task needs.
 func (j *jobSpec) needOf(task string) room.Room {
-	step, _ := position(task)
+	step, _ := stepAndIndex(task)
 	if step >= len(j.steps) {
 		return room.Room{}
 	}
 	return j.steps[step].Need
 }
 
-// position returns the step and the index that a task's name holds.
-func position(task string) (step, index int) {
+// stepAndIndex returns the step and the index within the step that the name of a task contains.
+func stepAndIndex(task string) (step, index int) {
 	parts := strings.Split(task, ".")
 	if len(parts) != taskNameParts {
 		return 0, 0
@@ -57,7 +58,7 @@
 	return step, index
 }
 
-// taskNameParts are job, occurrence, step and index.
+// taskNameParts is the number of parts of a task's name: job, occurrence, step and index.
 const taskNameParts = 4
 
 func (j *jobSpec) taskNames() []string {
@@ -70,154 +71,155 @@
 	return list
 }
 
-// submit hands a job in; without an answer it is sent again after the resend time.
-func (w *world) submit(j *jobSpec) {
-	w.jobs[j.name] = j
+// submit sends a job to an entry. Without an answer it is submitted again after the resend time.
+func (sim *simulation) submit(j *jobSpec) {
+	sim.jobs[j.name] = j
 	if j.durable {
-		w.accept(j)
+		sim.submitDurable(j)
 		return
 	}
-	j.attempts--
-	e := j.choose()
+	j.submissionsLeft--
+	e := j.nextEntry()
 	if e == nil || e.dead {
-		w.resubmit(j)
+		sim.resubmit(j)
 		return
 	}
-	w.checks.attempts[j.name]++
-	w.checks.open[j.name]++
-	w.tell("caller sends %s to %s", j.name, e.address)
+	sim.checker.requests[j.name]++
+	sim.checker.openRequests[j.name]++
+	sim.logEvent("caller sends %s to %s", j.name, e.address)
 	e.nextID++
 	r := &request{id: batch.RequestID(e.nextID), job: j}
-	e.open.Put(r.id, r)
-	deadline := w.now.Add(j.patience)
-	e.deliver(w.layout.caller, func() {
-		e.core.Submit(w.now, &batch.Request{
+	e.openRequests.Put(r.id, r)
+	deadline := sim.now.Add(j.timeout)
+	e.deliver(sim.config.callerLatency, func() {
+		e.core.Submit(sim.now, &batch.Request{
 			ID: r.id, Job: j.name, Queue: j.queue, Spec: "x", Deadline: deadline, Steps: j.steps,
 		})
 		e.perform()
 	})
-	w.watch(e, r)
+	sim.watchRequest(e, r)
 }
 
-// resubmit sends a job again later, if its caller does so at all.
-func (w *world) resubmit(j *jobSpec) {
-	if j.attempts <= 0 {
-		w.ended(j, fateUnanswered)
+// resubmit submits a job again after the resend time, unless the caller has no submissions left.
+func (sim *simulation) resubmit(j *jobSpec) {
+	if j.submissionsLeft <= 0 {
+		sim.recordEnd(j, outcomeUnanswered)
 		return
 	}
-	w.after(w.layout.resend, func() { w.submit(j) })
+	sim.schedule(sim.config.resend, func() { sim.submit(j) })
 }
 
-// watch is the caller's side of an attempt: it ends with the answer, with the
-// connection, or with the caller's patience.
-func (w *world) watch(e *entryProcess, r *request) {
-	r.lost = func() {
-		w.close(e, r)
-		w.resubmit(r.job)
+// watchRequest simulates the caller while it waits for an answer. The request ends with the answer,
+// the loss of the connection, the caller's timeout or its cancellation.
+func (sim *simulation) watchRequest(e *entryProcess, r *request) {
+	r.onConnectionLost = func() {
+		sim.closeRequest(e, r)
+		sim.resubmit(r.job)
 	}
-	leave := func(again bool) {
+	cancel := func(retry bool) {
 		if r.done {
 			return
 		}
-		w.close(e, r)
-		w.tell("caller gives %s up at %s", r.job.name, e.address)
-		e.deliver(w.layout.caller, func() {
-			e.core.Cancel(w.now, r.id)
+		sim.closeRequest(e, r)
+		sim.logEvent("caller gives %s up at %s", r.job.name, e.address)
+		e.deliver(sim.config.callerLatency, func() {
+			e.core.Cancel(sim.now, r.id)
 			e.perform()
 		})
-		if again {
-			w.resubmit(r.job)
+		if retry {
+			sim.resubmit(r.job)
 			return
 		}
-		w.ended(r.job, fateLeft)
+		sim.recordEnd(r.job, outcomeCancelled)
 	}
-	if r.job.leavesAfter > 0 {
-		w.after(r.job.leavesAfter, func() { leave(false) })
+	if r.job.cancelAfter > 0 {
+		sim.schedule(r.job.cancelAfter, func() { cancel(false) })
 	}
-	w.after(r.job.patience, func() { leave(true) })
+	sim.schedule(r.job.timeout, func() { cancel(true) })
 }
 
-// close ends an attempt at the caller's side.
-func (w *world) close(e *entryProcess, r *request) {
+// closeRequest ends a request on the caller's side.
+func (sim *simulation) closeRequest(e *entryProcess, r *request) {
 	r.done = true
-	w.checks.open[r.job.name]--
-	e.open.Delete(r.id)
+	sim.checker.openRequests[r.job.name]--
+	e.openRequests.Delete(r.id)
 }
 
-// answered hands an entry's answer to the caller.
-func (w *world) answered(e *entryProcess, r *request, a batch.Answer) {
-	w.close(e, r)
-	w.checks.took(r.job.name, a)
+// receiveAnswer handles an entry's answer on the caller's side.
+func (sim *simulation) receiveAnswer(e *entryProcess, r *request, a batch.Answer) {
+	sim.closeRequest(e, r)
+	sim.checker.answerReceived(r.job.name, a)
 	switch {
 	case a.Kind == errkind.OK:
-		w.ended(r.job, fateServed)
+		sim.recordEnd(r.job, outcomeServed)
 	case a.Kind == errkind.TaskFailed:
-		w.ended(r.job, fateFailed)
-	case refusedNotRun(a) && r.job.returns > 0:
-		r.job.returns--
-		r.job.attempts++
-		w.after(a.RetryAfter, func() { w.submit(r.job) })
-	case refusedNotRun(a):
-		w.ended(r.job, fateRefused)
+		sim.recordEnd(r.job, outcomeFailed)
+	case isRefusedNotRun(a) && r.job.retriesAfterRefusal > 0:
+		r.job.retriesAfterRefusal--
+		r.job.submissionsLeft++
+		sim.schedule(a.RetryAfter, func() { sim.submit(r.job) })
+	case isRefusedNotRun(a):
+		sim.recordEnd(r.job, outcomeRefused)
 	default:
-		w.resubmit(r.job)
+		sim.resubmit(r.job)
 	}
 }
 
-// accept hands a durable job in; without an answer it is sent again elsewhere.
-func (w *world) accept(j *jobSpec) {
-	j.attempts--
-	again := func() {
-		if j.attempts <= 0 {
-			w.ended(j, fateUnanswered)
+// submitDurable submits a durable job. Without an answer it is submitted again, to the entry that
+// nextEntry returns then.
+func (sim *simulation) submitDurable(j *jobSpec) {
+	j.submissionsLeft--
+	retry := func() {
+		if j.submissionsLeft <= 0 {
+			sim.recordEnd(j, outcomeUnanswered)
 			return
 		}
-		w.after(w.layout.resend, func() { w.accept(j) })
+		sim.schedule(sim.config.resend, func() { sim.submitDurable(j) })
 	}
-	e := j.choose()
+	e := j.nextEntry()
 	if e == nil || e.dead {
-		again()
+		retry()
 		return
 	}
 	e.nextID++
 	id := ledger.RequestID(e.nextID)
-	over := false
-	w.tell("caller hands %s in at %s", j.name, e.address)
-	e.asks[id] = func(kind errkind.Kind) {
-		if over {
+	closed := false
+	sim.logEvent("caller hands %s in at %s", j.name, e.address)
+	e.durableWaiters[id] = func(kind errkind.Kind) {
+		if closed {
 			return
 		}
-		over = true
+		closed = true
 		if kind == errkind.OK {
-			w.checks.accepted[j.name] = true
+			sim.checker.accepted[j.name] = true
 			return
 		}
 		if errkind.Of(kind).Ran == errkind.NotRun {
-			w.ended(j, fateRefused)
+			sim.recordEnd(j, outcomeRefused)
 		}
 	}
-	e.deliver(w.layout.caller, func() {
-		e.ledger.Accept(w.now, id, j.name, &ledger.Row{Queue: j.queue.Name, Steps: j.steps})
+	e.deliver(sim.config.callerLatency, func() {
+		e.ledger.Accept(sim.now, id, j.name, &ledger.Row{Queue: j.queue.Name, Steps: j.steps})
 		e.perform()
 	})
-	w.after(j.patience, func() {
-		if !over {
-			over = true
-			again()
+	sim.schedule(j.timeout, func() {
+		if !closed {
+			closed = true
+			retry()
 		}
 	})
 }
 
-// ended notes what became of a job.
-func (w *world) ended(j *jobSpec, f fate) {
+// recordEnd records the outcome of a job.
+func (sim *simulation) recordEnd(j *jobSpec, outcome jobOutcome) {
 	if j.record != nil {
-		j.record.end(f, w.since())
+		j.record.end(outcome, sim.elapsed())
 	}
 }
 
-// needOf returns the room that a run takes at its worker.
-func (w *world) needOf(key runs.Key) room.Room {
-	if j := w.jobs[key.Job()]; j != nil {
+// needOf returns the resources that a run takes at its worker.
+func (sim *simulation) needOf(key runs.Key) room.Room {
+	if j := sim.jobs[key.Job()]; j != nil {
 		return j.needOf(key.Task)
 	}
 	return room.Room{}
--- a/lab/emulator/crash_test.go
+++ b/lab/emulator/crash_test.go
@@ -12,189 +12,191 @@
 	"peridotpick.example/wire/runs"
 )
 
-// crashLayout has enough workers that some are left when a few have crashed.
-func crashLayout() *layout {
-	l := testLayout()
-	l.centres = []centre{{name: "d", entries: 3, workers: 12}}
-	return l
+// crashConfig has enough workers that some are left when a few have crashed.
+func crashConfig() *simConfig {
+	config := testConfig()
+	config.dataCentres = []dataCentreConfig{{name: "d", entries: 3, workers: 12}}
+	return config
 }
 
-// soundJob returns a job of which no run fails.
-func soundJob(w *world, name string, tasks int) *jobSpec {
-	j := testJob(w, name, tasks, 3)
-	j.run = func(runs.Key) (time.Duration, bool) {
-		return time.Duration(20+w.rand.IntN(400)) * time.Millisecond, false
+// successfulJob returns a job none of whose runs fails.
+func successfulJob(sim *simulation, name string, tasks int) *jobSpec {
+	j := testJob(sim, name, tasks, 3)
+	j.taskWork = func(runs.Key) (time.Duration, bool) {
+		return time.Duration(20+sim.rand.IntN(400)) * time.Millisecond, false
 	}
 	return j
 }
 
-// crashing makes the first task of a job crash each worker that starts it, some at the
-// start and some later.
-func crashing(w *world, j *jobSpec) *jobSpec {
-	within := []time.Duration{0, 15 * time.Millisecond, 150 * time.Millisecond}[w.rand.IntN(3)]
-	j.crashes = func(key runs.Key) (time.Duration, bool) {
-		_, index := position(key.Task)
-		return time.Duration(w.rand.Int64N(int64(within) + 1)), index == 0
+// makeCrashing makes the first task of a job crash each worker that starts it, with a random delay
+// of up to 0, 15 or 150 ms.
+func makeCrashing(sim *simulation, j *jobSpec) *jobSpec {
+	maxDelay := []time.Duration{0, 15 * time.Millisecond, 150 * time.Millisecond}[sim.rand.IntN(3)]
+	j.crashDelay = func(key runs.Key) (time.Duration, bool) {
+		_, index := stepAndIndex(key.Task)
+		return time.Duration(sim.rand.Int64N(int64(maxDelay) + 1)), index == 0
 	}
 	return j
 }
 
-// crashPlay is what a schedule with crashing tasks shows.
-type crashPlay struct {
-	*world
+// crashTrial is a simulation with tasks that crash workers, and its outcome.
+type crashTrial struct {
+	*simulation
 	crashing map[string]bool
-	// falsely counts the sound jobs that ended as failed, failed the crashing ones that
-	// did, and open those of them that are durable and did not.
-	falsely, failed, open int
+	// soundFailed counts the failed jobs that crash no worker, crashingFailed the failed jobs that
+	// do, and crashingOpen the durable jobs of the latter that have not ended.
+	otherFailed, crashingFailed, crashingOpen int
 }
 
-// playCrashing runs one schedule in which some jobs crash workers, beside faults.
-func playCrashing(seed uint64) *crashPlay {
-	w := newWorld(seed, crashLayout())
-	w.story = *oneSeed != 0
-	p := &crashPlay{world: w, crashing: make(map[string]bool)}
+// simulateCrashingTasks runs one schedule in which some jobs crash workers, along with faults.
+func simulateCrashingTasks(seed uint64) *crashTrial {
+	sim := newSimulation(seed, crashConfig())
+	sim.logsEvents = *oneSeed != 0
+	ct := &crashTrial{simulation: sim, crashing: make(map[string]bool)}
 	for n := range 200 {
-		at := time.Duration(w.rand.Int64N(int64(8 * time.Second)))
-		j := soundJob(w, fmt.Sprintf("%016x", n), 1+w.rand.IntN(4))
+		at := time.Duration(sim.rand.Int64N(int64(8 * time.Second)))
+		j := successfulJob(sim, fmt.Sprintf("%016x", n), 1+sim.rand.IntN(4))
 		if n%5 == 0 {
-			j.name, j.durable, j.attempts = fmt.Sprintf("d%015x", n), true, 1000
+			j.name, j.durable, j.submissionsLeft = fmt.Sprintf("d%015x", n), true, 1000
 		}
 		if n%25 == 0 || n%25 == 7 {
-			crashing(w, j)
-			p.crashing[j.name] = true
+			makeCrashing(sim, j)
+			ct.crashing[j.name] = true
 		}
-		w.after(at, func() { w.submit(j) })
+		sim.schedule(at, func() { sim.submit(j) })
 	}
-	for range w.rand.IntN(4) {
-		name := []string{"entry killed", "agent killed", "links reset", "worker restarts", "worker restarts behind a cut", "orders lost"}[w.rand.IntN(6)]
-		play := faults[name]
-		if play == nil {
-			play = restartFaults[name]
+	for range sim.rand.IntN(4) {
+		name := []string{"entry killed", "agent killed", "links reset", "worker restarts", "worker restarts behind a cut", "orders lost"}[sim.rand.IntN(6)]
+		inject := scheduleFaults[name]
+		if inject == nil {
+			inject = restartFaults[name]
 		}
-		w.after(time.Duration(w.rand.Int64N(int64(8*time.Second))), func() { w.tell("fault: %s", name); play(w) })
+		sim.schedule(time.Duration(sim.rand.Int64N(int64(8*time.Second))), func() { sim.logEvent("fault: %s", name); inject(sim) })
 	}
-	w.run(40 * time.Second)
-	p.judge()
-	return p
+	sim.run(40 * time.Second)
+	ct.countOutcomes()
+	return ct
 }
 
-// judge counts how jobs have ended.
-func (p *crashPlay) judge() {
-	for name, answers := range p.checks.answered {
+// countOutcomes counts how jobs have ended.
+func (ct *crashTrial) countOutcomes() {
+	for name, answers := range ct.checker.answered {
 		for _, a := range answers {
-			p.count(name, a.Kind == errkind.TaskFailed)
+			ct.count(name, a.Kind == errkind.TaskFailed)
 		}
 	}
-	for name := range p.checks.accepted {
-		state := p.store.rows[name].Row.State
-		p.count(name, state == batch.JobFailed)
-		if p.crashing[name] && !state.Ended() {
-			p.open++
+	for name := range ct.checker.accepted {
+		state := ct.store.rows[name].Row.State
+		ct.count(name, state == batch.JobFailed)
+		if ct.crashing[name] && !state.Ended() {
+			ct.crashingOpen++
 		}
 	}
 }
 
-func (p *crashPlay) count(job string, failed bool) {
+func (ct *crashTrial) count(job string, failed bool) {
 	switch {
-	case failed && p.crashing[job]:
-		p.failed++
+	case failed && ct.crashing[job]:
+		ct.crashingFailed++
 	case failed:
-		p.falsely++
-		p.tell("sound job %s failed", job)
+		ct.otherFailed++
+		ct.logEvent("sound job %s failed", job)
 	}
 }
 
-// TestCrashSchedules: a task that crashes workers is given up before it has cost more than
-// a few of them, whichever entries and agents saw the crashes, and no sound job with it.
+// TestCrashSchedules checks that a task that crashes workers is given up after it has crashed a few
+// of them, whichever entries and agents have seen the crashes, and that no other job fails because
+// of it.
 func TestCrashSchedules(t *testing.T) {
 	is := is.New(t)
-	crashed, falsely, failed := 0, 0, 0
-	playSeeds(t, max(*seeds/10, 1), func(seed uint64) *world {
-		p := playCrashing(seed)
-		for _, n := range p.checks.crashed {
+	crashed, otherFailed, crashingFailed := 0, 0, 0
+	simulateSeeds(t, max(*seeds/10, 1), func(seed uint64) *simulation {
+		ct := simulateCrashingTasks(seed)
+		for _, n := range ct.checker.crashCount {
 			crashed += n
 		}
-		falsely, failed = falsely+p.falsely, failed+p.failed
-		if p.open > 0 && len(p.checks.broken) == 0 {
-			t.Errorf("seed %d: %d crashing durable jobs have not ended", seed, p.open)
+		otherFailed, crashingFailed = otherFailed+ct.otherFailed, crashingFailed+ct.crashingFailed
+		if ct.crashingOpen > 0 && len(ct.checker.violations) == 0 {
+			t.Errorf("seed %d: %d crashing durable jobs have not ended", seed, ct.crashingOpen)
 		}
-		return p.world
-	}, func(*world) {})
-	t.Logf("%d workers crashed by tasks, %d crashing jobs failed, %d sound ones", crashed, failed, falsely)
-	is.True(failed > 0)
-	is.Equal(falsely, 0)
+		return ct.simulation
+	}, func(*simulation) {})
+	t.Logf("%d workers crashed by tasks, %d crashing jobs failed, %d other jobs failed", crashed, crashingFailed, otherFailed)
+	is.True(crashingFailed > 0)
+	is.Equal(otherFailed, 0)
 }
 
-// TestSoundJobsOutliveCrashesOfOtherCauses: workers crash for other causes all the time: some
-// go down and up by turns, single ones crash, and many at once. No job is given up for it.
-func TestSoundJobsOutliveCrashesOfOtherCauses(t *testing.T) {
-	crashes, falsely := 0, 0
+// TestJobsSurviveUnrelatedCrashes checks that no job fails because workers crash for other reasons:
+// some crash repeatedly, single ones now and then, and many at the same time.
+func TestJobsSurviveUnrelatedCrashes(t *testing.T) {
+	crashes, failed := 0, 0
 	for seed := uint64(1); seed <= uint64(max(*seeds/25, 1)); seed++ {
-		w := newWorld(seed, crashLayout())
-		p := &crashPlay{world: w, crashing: make(map[string]bool)}
+		sim := newSimulation(seed, crashConfig())
+		ct := &crashTrial{simulation: sim, crashing: make(map[string]bool)}
 		for n := range 600 {
-			j := soundJob(w, fmt.Sprintf("%016x", n), 1+w.rand.IntN(4))
+			j := successfulJob(sim, fmt.Sprintf("%016x", n), 1+sim.rand.IntN(4))
 			if n%5 == 0 {
-				j.name, j.durable, j.attempts = fmt.Sprintf("d%015x", n), true, 1000
+				j.name, j.durable, j.submissionsLeft = fmt.Sprintf("d%015x", n), true, 1000
 			}
-			w.after(time.Duration(w.rand.Int64N(int64(20*time.Second))), func() { w.submit(j) })
+			sim.schedule(time.Duration(sim.rand.Int64N(int64(20*time.Second))), func() { sim.submit(j) })
 		}
 		crash := func(workers []*worker) {
-			for _, k := range workers {
-				if !k.down {
+			for _, w := range workers {
+				if !w.down {
 					crashes++
-					k.crash()
-					k.comeBack(time.Duration(200+w.rand.IntN(1500)) * time.Millisecond)
+					w.crash()
+					w.restartAfter(time.Duration(200+sim.rand.IntN(1500)) * time.Millisecond)
 				}
 			}
 		}
-		flapping := pick(w, w.workers, 0.15)
-		end := worldStart.Add(20 * time.Second)
-		w.every(1500*time.Millisecond, end, func() { crash(flapping) })
-		w.every(2500*time.Millisecond, end, func() { crash(pick(w, w.workers, 0.05)) })
-		w.every(6*time.Second, end, func() { crash(pick(w, w.workers, 0.3)) })
-		w.run(30 * time.Second)
-		for _, b := range w.checks.broken {
+		flapping := pick(sim, sim.workers, 0.15)
+		end := simulationStart.Add(20 * time.Second)
+		sim.repeat(1500*time.Millisecond, end, func() { crash(flapping) })
+		sim.repeat(2500*time.Millisecond, end, func() { crash(pick(sim, sim.workers, 0.05)) })
+		sim.repeat(6*time.Second, end, func() { crash(pick(sim, sim.workers, 0.3)) })
+		sim.run(30 * time.Second)
+		for _, b := range sim.checker.violations {
 			t.Errorf("seed %d: %s", seed, b)
 		}
-		p.judge()
-		falsely += p.falsely
+		ct.countOutcomes()
+		failed += ct.otherFailed
 	}
-	t.Logf("%d workers crashed, %d sound jobs given up", crashes, falsely)
-	if falsely > 0 {
-		t.Errorf("%d sound jobs were given up in %d crashes", falsely, crashes)
+	t.Logf("%d workers crashed, %d jobs failed", crashes, failed)
+	if failed > 0 {
+		t.Errorf("%d jobs failed in %d unrelated crashes", failed, crashes)
 	}
 }
 
-// playCuts runs one schedule in which groups of workers are cut off, some starting again
-// behind the cut, while orders get no answer: their agents cannot tell a cut from a crash.
-func playCuts(seed uint64) *world {
-	w := newWorld(seed, crashLayout())
-	w.story = *oneSeed != 0
-	w.lostOrders = 0.06
+// simulatePartitions runs one schedule in which groups of workers are partitioned, some restarting
+// meanwhile, and orders get no answer. Agents cannot distinguish a partition from a crash.
+func simulatePartitions(seed uint64) *simulation {
+	sim := newSimulation(seed, crashConfig())
+	sim.logsEvents = *oneSeed != 0
+	sim.orderLossShare = 0.06
 	for n := range 500 {
-		j := soundJob(w, fmt.Sprintf("%016x", n), 1+w.rand.IntN(6))
+		j := successfulJob(sim, fmt.Sprintf("%016x", n), 1+sim.rand.IntN(6))
 		if n%5 == 0 {
-			j.name, j.durable, j.attempts = fmt.Sprintf("d%015x", n), true, 1000
+			j.name, j.durable, j.submissionsLeft = fmt.Sprintf("d%015x", n), true, 1000
 		}
-		w.after(time.Duration(w.rand.Int64N(int64(10*time.Second))), func() { w.submit(j) })
+		sim.schedule(time.Duration(sim.rand.Int64N(int64(10*time.Second))), func() { sim.submit(j) })
 	}
 	for at := time.Second; at < 10*time.Second; at += 2 * time.Second {
-		w.after(at, func() {
-			for _, k := range pick(w, w.workers, 0.25) {
-				k.cut = true
-				if w.rand.IntN(2) == 0 {
-					w.after(time.Duration(w.rand.IntN(800))*time.Millisecond, k.restart)
+		sim.schedule(at, func() {
+			for _, w := range pick(sim, sim.workers, 0.25) {
+				w.partitioned = true
+				if sim.rand.IntN(2) == 0 {
+					sim.schedule(time.Duration(sim.rand.IntN(800))*time.Millisecond, w.restart)
 				}
-				w.after(time.Second+time.Duration(w.rand.IntN(500))*time.Millisecond, func() { k.cut = false })
+				sim.schedule(time.Second+time.Duration(sim.rand.IntN(500))*time.Millisecond, func() { w.partitioned = false })
 			}
 		})
 	}
-	w.run(30 * time.Second)
-	return w
+	sim.run(30 * time.Second)
+	return sim
 }
 
-// TestCutWorkersFailNoJob: a job fails only if workers have crashed while its task ran there.
-func TestCutWorkersFailNoJob(t *testing.T) {
-	playSeeds(t, max(*seeds/10, 1), playCuts, func(*world) {})
+// TestPartitionedWorkersFailNoJob checks that a job fails only if workers have crashed while they
+// ran one of its tasks.
+func TestPartitionedWorkersFailNoJob(t *testing.T) {
+	simulateSeeds(t, max(*seeds/10, 1), simulatePartitions, func(*simulation) {})
 }
--- a/lab/emulator/deployment.go
+++ b/lab/emulator/deployment.go
@@ -20,33 +20,34 @@
 	"peridotpick.example/core/runner"
 )
 
-// Deployment describes what is emulated: instances, distances, kinds of jobs and
-// how users weigh what they get.
+// Deployment describes the simulated system: instances, latencies, kinds of jobs, and how the
+// outcomes of jobs are weighted.
 type Deployment struct {
-	// Name is that of its file.
+	// Name is the name of its file without the extension.
 	Name string `json:"-"`
-	// About says in a line what it stands for.
+	// About describes in a line what the deployment models.
 	About       string       `json:"about"`
 	DataCentres []DataCentre `json:"dataCentres"`
-	// Room is that of a worker of size 1; Sizes multiply its processors, in turn.
-	Room  room.Room `json:"room"`
-	Sizes []float64 `json:"sizes"`
+	// Capacity is the capacity of a worker of size 1. Sizes are factors on its CPU, assigned to the
+	// workers in rotation.
+	Capacity room.Room `json:"room"`
+	Sizes    []float64 `json:"sizes"`
 	// RackSize is the number of workers in a rack.
 	RackSize int `json:"rackSize"`
-	// Within, Across and Caller are one way inside a data centre, between two, and
-	// from a caller.
-	Within settings.Duration `json:"within"`
-	Across settings.Duration `json:"across"`
-	Caller settings.Duration `json:"caller"`
-	// Resend is when a caller whose connection broke sends its job again.
+	// LocalLatency, RemoteLatency and CallerLatency are the one-way latencies within a data centre,
+	// between two, and between a caller and an entry.
+	LocalLatency  settings.Duration `json:"within"`
+	RemoteLatency settings.Duration `json:"across"`
+	CallerLatency settings.Duration `json:"caller"`
+	// Resend is the time after which a caller whose connection broke submits its job again.
 	Resend settings.Duration `json:"resend"`
-	// Announce is the time between announcements of a worker.
-	Announce settings.Duration `json:"announce"`
-	// BootEntry and BootAgent are how long the processes take to start.
-	BootEntry settings.Duration `json:"bootEntry"`
-	BootAgent settings.Duration `json:"bootAgent"`
-	Kinds     []Kind            `json:"kinds"`
-	Goal      Goal              `json:"goal"`
+	// AnnounceInterval is the longest time between announcements of a worker.
+	AnnounceInterval settings.Duration `json:"announce"`
+	// EntryBootTime and AgentBootTime are how long the processes take to start.
+	EntryBootTime settings.Duration `json:"bootEntry"`
+	AgentBootTime settings.Duration `json:"bootAgent"`
+	Kinds         []Kind            `json:"kinds"`
+	Goal          Goal              `json:"goal"`
 }
 
 // DataCentre is one data centre with its callers.
@@ -54,95 +55,98 @@
 	Name    string `json:"name"`
 	Entries int    `json:"entries"`
 	Workers int    `json:"workers"`
-	// Rate is the number of jobs that its callers send a second.
-	Rate float64 `json:"rate"`
-	// Callers is their number; 0 if there are so many that entries have equal loads.
+	// JobsPerSecond is the mean rate at which its callers submit jobs.
+	JobsPerSecond float64 `json:"rate"`
+	// Callers is the number of callers; 0 if there are so many that the load of entries is even.
 	Callers int `json:"callers"`
 }
 
-// Spread is a log-normal distribution, cut at a maximum.
-type Spread struct {
+// LogNormal is a log-normal distribution, limited to Max if that is not 0.
+type LogNormal struct {
 	Mean float64 `json:"mean"`
-	// Sigma is the standard deviation of the logarithm.
+	// Sigma is the standard deviation of the logarithm; with 0 all values are Mean.
 	Sigma float64 `json:"sigma"`
 	Max   float64 `json:"max"`
 }
 
-// Kind is a kind of jobs, which has a queue of its own.
+// Kind is a kind of jobs, which has its own queue.
 type Kind struct {
 	Name        string            `json:"name"`
 	Priority    int               `json:"priority"`
 	MaxAttempts int               `json:"maxAttempts"`
 	Stretch     float64           `json:"stretch"`
 	Target      settings.Duration `json:"target"`
-	// Share is its part of the jobs.
+	// Share is its share of the jobs, relative to the sum over all kinds.
 	Share float64 `json:"share"`
-	// Worth is what a job of mean work is worth in time, LateWorth up to three times
-	// the objective.
+	// Worth is the value of a job of mean work that ends within its objective, LateWorth of one
+	// that ends within three times the objective.
 	Worth     float64 `json:"worth"`
 	LateWorth float64 `json:"lateWorth"`
-	// Steps is the number of steps, one after the other; 0 stands for 1.
+	// Steps is the number of steps, each of which starts after the one before; 0 stands for 1.
 	Steps int `json:"steps"`
-	// Width is the number of tasks of a step, CPU what each needs in thousandths of
-	// a core, WorkMillis how long it runs.
-	Width      Spread `json:"width"`
-	CPU        Spread `json:"cpu"`
-	WorkMillis Spread `json:"workMillis"`
-	// Uneven is the spread of work inside a job, EstimateOff that of the declared
-	// run time around the real one, EstimateBias a factor on it; 0 stands for 1.
-	Uneven       float64 `json:"uneven"`
-	EstimateOff  float64 `json:"estimateOff"`
-	EstimateBias float64 `json:"estimateBias"`
-	// ErrorShare is the part of runs that fail.
-	ErrorShare float64 `json:"errorShare"`
-	// Patience is how long a caller waits.
-	Patience settings.Duration `json:"patience"`
-	// Returns is how often a caller comes back after a refusal.
-	Returns int `json:"returns"`
-	// Durable jobs are stored.
+	// Width is the number of tasks of a step, CPU what each needs in thousandths of a core,
+	// WorkMillis how long it runs at full speed.
+	Width      LogNormal `json:"width"`
+	CPU        LogNormal `json:"cpu"`
+	WorkMillis LogNormal `json:"workMillis"`
+	// WorkSigma is the sigma of the work of tasks within a job, EstimateSigma that of the declared
+	// run time relative to the real one. EstimateBias is a factor on the declared run time; 0
+	// stands for 1.
+	WorkSigma     float64 `json:"uneven"`
+	EstimateSigma float64 `json:"estimateOff"`
+	EstimateBias  float64 `json:"estimateBias"`
+	// FailureShare is the share of runs that fail.
+	FailureShare float64 `json:"errorShare"`
+	// CallerTimeout is how long a caller waits for an answer.
+	CallerTimeout settings.Duration `json:"patience"`
+	// RetriesAfterRefusal is how often a caller submits a job again after a refusal.
+	RetriesAfterRefusal int `json:"returns"`
+	// Durable is true for jobs that are stored before they are accepted, and that callers do not
+	// wait for.
 	Durable bool `json:"durable"`
 }
 
-// Goal weighs the parts of what users get; the weights sum up to 1.
+// Goal holds the weights of the parts of a trial's score. Credit, Nines, Windows, Kind and
+// DataCentre sum up to 1.
 type Goal struct {
-	// Whole is the weight of the credit of all jobs, Nines that of the share served
-	// at all on a logarithmic scale, Windows that of the two worst windows of two
-	// seconds, Kind that of the worst kind, DataCentre that of the worst one.
-	Whole      float64 `json:"whole"`
+	// Credit is the weight of the credit of all jobs, Nines of the share of jobs served on a
+	// logarithmic scale, Windows of the two worst windows of two seconds, Kind of the worst kind,
+	// DataCentre of the worst data centre.
+	Credit     float64 `json:"whole"`
 	Nines      float64 `json:"nines"`
 	Windows    float64 `json:"windows"`
 	Kind       float64 `json:"kind"`
 	DataCentre float64 `json:"dataCentre"`
-	// NinesBest is the share not served that counts as perfect.
-	NinesBest float64 `json:"ninesBest"`
-	// Waste is the price of a core-second of work that was done in vain, as a part of
-	// all the credit that is owed in an hour of mean load.
+	// BestUnservedShare is the share of unserved jobs that counts as perfect.
+	BestUnservedShare float64 `json:"ninesBest"`
+	// Waste is the penalty per unit of the share of work that is wasted.
 	Waste float64 `json:"waste"`
 }
 
-// Limits of a deployment and a scenario, well above what one machine plays in
-// reasonable time.
+// Limits of a deployment and a scenario, well above what can be simulated in reasonable time. maxRate is
+// in jobs per second and also limits the relative shares of kinds; maxTasks is per step.
 const (
 	maxInstances = 5000
 	maxRate      = 20000
 	maxTasks     = 10000
 	maxSeconds   = 3600
-	weightSlack  = 0.001
+	// weightSlack is the tolerance of the sum of the weights of a Goal.
+	weightSlack = 0.001
 )
 
 //go:embed deployments/*.json scenarios/*.json
-var library embed.FS
+var packagedFiles embed.FS
 
-// DeploymentNames returns the names of the packaged deployments.
-func DeploymentNames() []string { return names("deployments") }
+// DeploymentNames returns the names of the packaged deployments in alphabetical order.
+func DeploymentNames() []string { return packagedNames("deployments") }
 
-// ScenarioNames returns the names of the packaged scenarios.
-func ScenarioNames() []string { return names("scenarios") }
+// ScenarioNames returns the names of the packaged scenarios in alphabetical order.
+func ScenarioNames() []string { return packagedNames("scenarios") }
 
-func names(dir string) []string {
-	entries, err := fs.ReadDir(library, dir)
+func packagedNames(dir string) []string {
+	entries, err := fs.ReadDir(packagedFiles, dir)
 	if err != nil {
-		return nil // the folder is part of the program
+		return nil // cannot happen: the directory is embedded in the binary
 	}
 	var list []string
 	for _, e := range entries {
@@ -151,24 +155,26 @@
 	return list
 }
 
-// read decodes a packaged file, or one of the caller's if the name is a path.
-func read(dir, name string, into any) error {
-	raw, err := fs.ReadFile(library, path.Join(dir, name+".json"))
+// readFile decodes the packaged file of that name in dir, or the file at path name if name ends in
+// .json.
+func readFile(dir, name string, target any) error {
+	raw, err := fs.ReadFile(packagedFiles, path.Join(dir, name+".json"))
 	if strings.HasSuffix(name, ".json") {
 		raw, err = os.ReadFile(name)
 	}
 	if err != nil {
-		return eris.Errorf("%q is no file and none of the packaged %s: %s", name, dir, strings.Join(names(dir), ", "))
+		return eris.Errorf("%q is neither a readable file nor one of the packaged %s: %s", name, dir, strings.Join(packagedNames(dir), ", "))
 	}
 	decoder := json.NewDecoder(strings.NewReader(string(raw)))
 	decoder.DisallowUnknownFields()
-	return eris.Wrapf(decoder.Decode(into), "%s", name)
+	return eris.Wrapf(decoder.Decode(target), "%s", name)
 }
 
-// LoadDeployment reads and checks a deployment.
+// LoadDeployment reads and validates a deployment: a packaged one, or the file at path name if name
+// ends in .json.
 func LoadDeployment(name string) (*Deployment, error) {
 	d := &Deployment{Name: strings.TrimSuffix(path.Base(name), ".json")}
-	if err := read("deployments", name, d); err != nil {
+	if err := readFile("deployments", name, d); err != nil {
 		return nil, err
 	}
 	if err := d.problems().Err(); err != nil {
@@ -181,21 +187,21 @@
 	var p settings.Problems
 	instances, entries, workers := 0, 0, 0
 	for i, c := range d.DataCentres {
-		at := "/dataCentres/" + strconv.Itoa(i)
-		between(&p, at+"/rate", c.Rate, 0, maxRate)
-		between(&p, at+"/entries", float64(c.Entries), 0, maxInstances)
-		between(&p, at+"/workers", float64(c.Workers), 0, maxInstances)
+		pointer := "/dataCentres/" + strconv.Itoa(i)
+		checkRange(&p, pointer+"/rate", c.JobsPerSecond, 0, maxRate)
+		checkRange(&p, pointer+"/entries", float64(c.Entries), 0, maxInstances)
+		checkRange(&p, pointer+"/workers", float64(c.Workers), 0, maxInstances)
 		entries, workers = entries+c.Entries, workers+c.Workers
 	}
 	instances = entries + workers
-	between(&p, "/dataCentres", float64(instances), 2, maxInstances)
-	between(&p, "/dataCentres/entries", float64(entries), 1, maxInstances)
-	between(&p, "/dataCentres/workers", float64(workers), 1, maxInstances)
-	between(&p, "/room/cpu", float64(d.Room.CPU), 1, 1e7)
-	between(&p, "/sizes", float64(len(d.Sizes)), 1, maxInstances)
-	between(&p, "/rackSize", float64(d.RackSize), 1, maxInstances)
-	between(&p, "/resend", d.Resend.Std().Seconds(), 0.5, 60)
-	between(&p, "/announce", d.Announce.Std().Seconds(), 0.1, 60)
+	checkRange(&p, "/dataCentres", float64(instances), 2, maxInstances)
+	checkRange(&p, "/dataCentres/entries", float64(entries), 1, maxInstances)
+	checkRange(&p, "/dataCentres/workers", float64(workers), 1, maxInstances)
+	checkRange(&p, "/room/cpu", float64(d.Capacity.CPU), 1, 1e7)
+	checkRange(&p, "/sizes", float64(len(d.Sizes)), 1, maxInstances)
+	checkRange(&p, "/rackSize", float64(d.RackSize), 1, maxInstances)
+	checkRange(&p, "/resend", d.Resend.Std().Seconds(), 0.5, 60)
+	checkRange(&p, "/announce", d.AnnounceInterval.Std().Seconds(), 0.1, 60)
 	if len(d.Kinds) == 0 {
 		p.Add("/kinds", 0, "one or more")
 	}
@@ -203,66 +209,67 @@
 		d.Kinds[i].check(&p, "/kinds/"+strconv.Itoa(i))
 	}
 	g := d.Goal
-	sum := g.Whole + g.Nines + g.Windows + g.Kind + g.DataCentre
-	between(&p, "/goal", sum, 1-weightSlack, 1+weightSlack)
+	sum := g.Credit + g.Nines + g.Windows + g.Kind + g.DataCentre
+	checkRange(&p, "/goal", sum, 1-weightSlack, 1+weightSlack)
 	return p
 }
 
-func (k *Kind) check(p *settings.Problems, at string) {
-	between(p, at+"/share", k.Share, 0, maxRate)
-	between(p, at+"/stretch", k.Stretch, 1, 1000)
-	between(p, at+"/maxAttempts", float64(k.MaxAttempts), 1, 1000)
-	between(p, at+"/width/mean", k.Width.Mean, 1, maxTasks)
-	between(p, at+"/cpu/mean", k.CPU.Mean, 1, 1e7)
-	between(p, at+"/workMillis/mean", k.WorkMillis.Mean, 1, 1e6)
-	between(p, at+"/errorShare", k.ErrorShare, 0, 1)
-	between(p, at+"/worth", k.Worth, 0, 1e6)
-	between(p, at+"/lateWorth", k.LateWorth, 0, max(k.Worth, 0))
-	between(p, at+"/patience", k.Patience.Std().Seconds(), 0.01, maxSeconds)
-	between(p, at+"/returns", float64(k.Returns), 0, 100)
-	between(p, at+"/steps", float64(k.Steps), 0, 64)
+func (k *Kind) check(p *settings.Problems, pointer string) {
+	checkRange(p, pointer+"/share", k.Share, 0, maxRate)
+	checkRange(p, pointer+"/stretch", k.Stretch, 1, 1000)
+	checkRange(p, pointer+"/maxAttempts", float64(k.MaxAttempts), 1, 1000)
+	checkRange(p, pointer+"/width/mean", k.Width.Mean, 1, maxTasks)
+	checkRange(p, pointer+"/cpu/mean", k.CPU.Mean, 1, 1e7)
+	checkRange(p, pointer+"/workMillis/mean", k.WorkMillis.Mean, 1, 1e6)
+	checkRange(p, pointer+"/errorShare", k.FailureShare, 0, 1)
+	checkRange(p, pointer+"/worth", k.Worth, 0, 1e6)
+	checkRange(p, pointer+"/lateWorth", k.LateWorth, 0, max(k.Worth, 0))
+	checkRange(p, pointer+"/patience", k.CallerTimeout.Std().Seconds(), 0.01, maxSeconds)
+	checkRange(p, pointer+"/returns", float64(k.RetriesAfterRefusal), 0, 100)
+	checkRange(p, pointer+"/steps", float64(k.Steps), 0, 64)
 }
 
-// between adds a mistake if a value is out of its limits.
-func between(p *settings.Problems, at string, value, low, high float64) {
+// checkRange adds a problem if a value is outside its range.
+func checkRange(p *settings.Problems, pointer string, value, low, high float64) {
 	if value < low || value > high {
-		p.Add(at, value, "from "+number(low)+" to "+number(high))
+		p.Add(pointer, value, "from "+formatNumber(low)+" to "+formatNumber(high))
 	}
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
 func (k *Kind) newQueue() *catalog.Queue {
 	return &catalog.Queue{
-		Name: k.Name, Service: service, Priority: k.Priority, MaxAttempts: k.MaxAttempts, Stretch: k.Stretch, Target: k.Target.Std(),
+		Name: k.Name, Service: serviceName, Priority: k.Priority, MaxAttempts: k.MaxAttempts, Stretch: k.Stretch, Target: k.Target.Std(),
 	}
 }
 
-// Times of durable jobs and looks, as in production.
+// Time constants of ownership, leases and latency jitter, as in production, and the factor on
+// the run time of tasks away from their data.
 const (
-	layoutOwnFor      = 5500 * time.Millisecond
-	layoutEntrySilent = 2 * time.Second
-	layoutJitter      = 400 * time.Microsecond
-	longestLease      = time.Second
-	layoutRemote      = 1.5
+	ownershipTTL        = 5500 * time.Millisecond
+	entrySilenceTimeout = 2 * time.Second
+	latencyJitter       = 400 * time.Microsecond
+	longestLease        = time.Second
+	remoteFactor        = 1.5
 )
 
-// layout returns what a world of the deployment is built from.
-func (d *Deployment) layout(p policy.Policy) *layout {
-	l := &layout{
-		rackSize: d.RackSize, resend: d.Resend.Std(), ownFor: layoutOwnFor, entrySilent: layoutEntrySilent,
-		within: d.Within.Std(), across: d.Across.Std(), caller: d.Caller.Std(), jitter: layoutJitter,
-		announceEvery: d.Announce.Std(), lookWait: runner.Standard().LookWait, crossCost: batch.Standard().CrossCost, remoteFactor: layoutRemote,
-		bootEntry: d.BootEntry.Std(), bootAgent: d.BootAgent.Std(), policy: p,
+// config returns the configuration of a simulation of the deployment.
+func (d *Deployment) config(p policy.Policy) *simConfig {
+	config := &simConfig{
+		rackSize: d.RackSize, resend: d.Resend.Std(), ownershipTTL: ownershipTTL, entrySilenceTimeout: entrySilenceTimeout,
+		localLatency: d.LocalLatency.Std(), remoteLatency: d.RemoteLatency.Std(), callerLatency: d.CallerLatency.Std(), jitter: latencyJitter,
+		announceInterval: d.AnnounceInterval.Std(), pollWait: runner.Standard().LookWait, crossCost: batch.Standard().CrossCost, remoteFactor: remoteFactor,
+		bootEntry: d.EntryBootTime.Std(), bootAgent: d.AgentBootTime.Std(), policy: p,
 		capacity: func(n int) room.Room {
-			r := d.Room
+			r := d.Capacity
 			r.CPU = int(float64(r.CPU) * d.Sizes[n%len(d.Sizes)])
 			return r
 		},
 	}
 	for _, c := range d.DataCentres {
-		l.centres = append(l.centres, centre{name: c.Name, entries: c.Entries, workers: c.Workers})
+		config.dataCentres = append(config.dataCentres, dataCentreConfig{name: c.Name, entries: c.Entries, workers: c.Workers})
 	}
-	l.setLeases(longestLease)
-	return l
+	config.setLeases(longestLease)
+	return config
 }
--- a/lab/emulator/doc.go
+++ b/lab/emulator/doc.go
@@ -1,12 +1,13 @@
-// Package emulator drives the decision code of entries (core/batch, core/ledger)
-// and agents (core/runner) together in virtual time, over a model of workers,
-// links, callers, the platform's store and faults.
+// Package emulator runs the decision code of entries (core/batch, core/ledger) and agents
+// (core/runner) together in virtual time, over a model of workers, links, callers, the platform's
+// store and faults.
 //
-// It serves two ends with one world. Seeded schedules of faults check what must
-// always hold: one run of a task at a time, room never exceeded, true refusals,
-// no start after a noted end. Plays of a named load measure how well is decided:
-// which jobs end in time, late, refused or failed, and what that is worth.
+// It serves two purposes with the same simulation. Seeded schedules of faults check the guarantees
+// of the system: a task has at most one run at a time, the capacity of a worker is never exceeded,
+// a job refused as not run has not run, and a task whose end is acknowledged is not started again.
+// Trials of a scenario measure the quality of the decisions: which jobs end in time, late, refused
+// or failed, and the value of those outcomes.
 //
-// A world has one goroutine and one source of random numbers, and everything in
-// it is walked in a fixed order, so that the same seed gives the same play.
+// A simulation has one goroutine and a seeded source of random numbers, and iterates over
+// everything in a fixed order, so that the same seed gives the same result.
 package emulator
--- a/lab/emulator/drains.go
+++ b/lab/emulator/drains.go
@@ -8,139 +8,145 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Times of drained data centres.
+// Time constants of drained data centres.
 const (
-	// drainBound is the time from the store's word on a drain after which nothing may
-	// start there any more.
-	drainBound = 5 * time.Second
-	// gossipEvery is the time between two words of entries to each other.
-	gossipEvery = 400 * time.Millisecond
-	// confirmEvery is how often an entry that hears of no change asks the store anew.
-	confirmEvery = 1500 * time.Millisecond
-	// agentAsksEvery is the shortest time between two questions of an agent.
-	agentAsksEvery = time.Second
-	// coldFor is how long workers are slow after their data centre was drained.
-	coldFor = 2 * time.Second
+	// maxDrainDelay is the time after the store has recorded a drain from which nothing may start
+	// in that data centre.
+	maxDrainDelay = 5 * time.Second
+	// gossipInterval is the time between messages that an entry sends to its peers.
+	gossipInterval = 400 * time.Millisecond
+	// drainConfirmInterval is how often an entry reads the drained data centres while no change is
+	// reported to it.
+	drainConfirmInterval = 1500 * time.Millisecond
+	// agentDrainQueryInterval is the shortest time between two queries of an agent for the drained
+	// data centres.
+	agentDrainQueryInterval = time.Second
+	// coldDuration is how long workers are slow after their data centre is back in use.
+	coldDuration = 2 * time.Second
 )
 
-// drain has the operator drain a data centre. Each change counts as one of the store.
-func (w *world) drain(dataCentre string) {
-	if _, drained := w.store.drained[dataCentre]; drained {
+// drain simulates an operator who drains a data centre. The change increases the version of the
+// store.
+func (sim *simulation) drain(dataCentre string) {
+	if _, drained := sim.store.drained[dataCentre]; drained {
 		return
 	}
-	w.tell("operator drains %s", dataCentre)
-	w.store.version++
-	w.store.drained[dataCentre] = w.now
-	w.drainsChanged()
+	sim.logEvent("operator drains %s", dataCentre)
+	sim.store.version++
+	sim.store.drained[dataCentre] = sim.now
+	sim.notifyDrainsChanged()
 }
 
-// undrain takes a data centre back into use.
-func (w *world) undrain(dataCentre string) {
-	if _, drained := w.store.drained[dataCentre]; !drained {
+// undrain simulates an operator who takes a data centre back into use.
+func (sim *simulation) undrain(dataCentre string) {
+	if _, drained := sim.store.drained[dataCentre]; !drained {
 		return
 	}
-	w.tell("operator takes %s back", dataCentre)
-	w.store.version++
-	delete(w.store.drained, dataCentre)
-	w.drainsChanged()
+	sim.logEvent("operator takes %s back", dataCentre)
+	sim.store.version++
+	delete(sim.store.drained, dataCentre)
+	sim.notifyDrainsChanged()
 }
 
-// drainsChanged brings a change to the entries whose waiting call to the store goes on.
-func (w *world) drainsChanged() {
-	for _, e := range w.entries {
-		w.after(storeDelay, e.readDrains)
+// notifyDrainsChanged reports a change of the drained data centres to the entries, which have a
+// long poll open at the store.
+func (sim *simulation) notifyDrainsChanged() {
+	for _, e := range sim.entries {
+		sim.schedule(storeOneWay, e.readDrains)
 	}
 }
 
-func (s *store) drainsView() runs.Drains {
+func (s *store) drainView() runs.Drains {
 	return runs.Drains{Version: s.version + 1, DataCentres: slices.Sorted(maps.Keys(s.drained))}
 }
 
-// followDrains is the shell's loop over the operator's wishes, and over the neighbours.
-func (e *entryProcess) followDrains() {
-	if e.w.now.Sub(e.drainsReadAt) >= confirmEvery {
+// drainLoop reads the drained data centres from the store at intervals and sends the entry's view
+// to its peers.
+func (e *entryProcess) drainLoop() {
+	if e.sim.now.Sub(e.drainsReadAt) >= drainConfirmInterval {
 		e.readDrains()
 	}
-	view := e.drains.View(e.w.now)
-	for _, other := range e.w.entries {
-		if other != e && !other.dead && !other.cut && !e.cut {
-			other.deliver(e.w.layout.oneWay(e.centre, other.centre), func() { other.learnDrains(view) })
+	view := e.drains.View(e.sim.now)
+	for _, other := range e.sim.entries {
+		if other != e && !other.dead && !other.partitioned && !e.partitioned {
+			other.deliver(e.sim.config.latency(e.dataCentre, other.dataCentre), func() { other.updateDrains(view) })
 		}
 	}
-	e.deliver(gossipEvery, e.followDrains)
+	e.deliver(gossipInterval, e.drainLoop)
 }
 
 func (e *entryProcess) readDrains() {
 	if !e.reachesStore() {
 		return
 	}
-	e.drainsReadAt = e.w.now
-	view := e.w.store.drainsView()
-	e.deliver(storeDelay, func() { e.learnDrains(view) })
+	e.drainsReadAt = e.sim.now
+	view := e.sim.store.drainView()
+	e.deliver(storeOneWay, func() { e.updateDrains(view) })
 }
 
 func (e *entryProcess) reachesStore() bool {
-	return !e.dead && !e.cut && !e.turnedAway && !e.w.store.down && !e.w.now.Before(e.frozen)
+	return !e.dead && !e.partitioned && !e.storeDenied && !e.sim.store.down && !e.sim.now.Before(e.suspendedUntil)
 }
 
-func (e *entryProcess) learnDrains(view runs.Drains) {
-	e.drains.Learn(e.w.now, view)
-	e.core.LearnDrains(e.w.now, e.drains.View(e.w.now))
+func (e *entryProcess) updateDrains(view runs.Drains) {
+	e.drains.Learn(e.sim.now, view)
+	e.core.LearnDrains(e.sim.now, e.drains.View(e.sim.now))
 	e.perform()
 }
 
-// confirmDrains has an agent ask the store while none of its entries vouches for its view.
-func (a *agentProcess) confirmDrains() {
-	w := a.w
-	if !a.core.DrainsUnconfirmed(w.now) || w.now.Sub(a.drainsAskedAt) < agentAsksEvery {
+// queryDrains has an agent query the store while no entry confirms its view of the drained data
+// centres.
+func (a *agentProcess) queryDrains() {
+	sim := a.sim
+	if !a.core.DrainsUnconfirmed(sim.now) || sim.now.Sub(a.drainsQueriedAt) < agentDrainQueryInterval {
 		return
 	}
-	a.drainsAskedAt = w.now
-	if w.store.down || a.turnedAway {
+	a.drainsQueriedAt = sim.now
+	if sim.store.down || a.storeDenied {
 		return
 	}
-	a.deliver(storeDelay, func() {
-		view := w.store.drainsView()
-		a.deliver(storeDelay, func() { a.event(func() { a.core.LearnDrains(w.now, view) }) })
+	a.deliver(storeOneWay, func() {
+		view := sim.store.drainView()
+		a.deliver(storeOneWay, func() { a.handleEvent(func() { a.core.LearnDrains(sim.now, view) }) })
 	})
 }
 
-// cool has the workers of a data centre run slow for a while.
-func (p *play) cool(f *Fault) {
+// slowAfterDrain slows down the workers of a data centre that is back in use.
+func (t *trial) slowAfterDrain(f *Fault) {
 	if f.Factor <= 1 {
 		return
 	}
-	for _, k := range p.world.workers {
-		if k.centre == f.DataCentre && !k.down {
-			k.setPace(false, f.Factor)
-			p.world.after(coldFor, func() { k.setPace(false, 0) })
+	for _, w := range t.sim.workers {
+		if w.dataCentre == f.DataCentre && !w.down {
+			w.setSpeed(false, f.Factor)
+			t.sim.schedule(coldDuration, func() { w.setSpeed(false, 0) })
 		}
 	}
 }
 
-// startedWhileDrained checks that nothing starts in a data centre that was drained a
-// while ago, as long as the agent is in touch.
-func (c *checks) startedWhileDrained(key runs.Key, k *worker) {
-	since, drained := c.w.store.drained[k.centre]
-	inTouch := c.w.now.Sub(c.w.agents[k.number].outOfTouchAt) > drainBound
-	if drained && inTouch && c.w.now.Sub(since) > drainBound {
-		c.breaks("task %s starts on %s, whose data centre %s was drained %v before", key.Task, k.id, k.centre, c.w.now.Sub(since))
+// checkDrained checks that no run starts in a data centre that was drained more than maxDrainDelay
+// ago, unless the agent had no source for drains within that time.
+func (c *checker) checkDrained(key runs.Key, w *worker) {
+	drainedAt, drained := c.sim.store.drained[w.dataCentre]
+	connected := c.sim.now.Sub(c.sim.agents[w.number].disconnectedAt) > maxDrainDelay
+	if drained && connected && c.sim.now.Sub(drainedAt) > maxDrainDelay {
+		c.reportViolation("task %s starts on %s, whose data centre %s was drained %v before", key.Task, w.id, w.dataCentre, c.sim.now.Sub(drainedAt))
 	}
 }
 
-// watchTouch notes when the agent was last out of touch: its process was not running, or
-// neither it nor any of its entries reached the store.
-func (a *agentProcess) watchTouch() {
-	stopped := a.dead || a.w.now.Before(a.frozen)
-	unreached := a.w.store.down || a.turnedAway && !a.anyEntryReachesStore()
-	if stopped || unreached {
-		a.outOfTouchAt = a.w.now
+// trackConnectivity records when the agent had no source for drains: its process did not run, or
+// neither it nor any entry linked to it reached the store.
+func (a *agentProcess) trackConnectivity() {
+	stopped := a.dead || a.sim.now.Before(a.suspendedUntil)
+	storeUnreachable := a.sim.store.down || a.storeDenied && !a.anyEntryReachesStore()
+	if stopped || storeUnreachable {
+		a.disconnectedAt = a.sim.now
 	}
 }
 
 func (a *agentProcess) anyEntryReachesStore() bool {
 	for l := range a.links.Values() {
-		if l.open && !l.silent && l.entry.reachesStore() {
+		if l.open && !l.dropsMessages && l.entry.reachesStore() {
 			return true
 		}
 	}
--- a/lab/emulator/entry.go
+++ b/lab/emulator/entry.go
@@ -11,79 +11,83 @@
 	"peridotpick.example/wire/runs"
 )
 
-// entryProcess is an entry with its shell.
+// entryProcess runs the cores of an entry: it exchanges messages with agents, callers, peers and
+// the store, and applies the outputs of the cores.
 type entryProcess struct {
 	process
-	core    *batch.Core
-	address string
-	centre  string
-	self    runs.Entry
-	links   ordered.Map[batch.LinkID, *simLink]
-	open    ordered.Map[batch.RequestID, *request]
-	nextID  uint64
-	ledger  *ledger.Core
-	// asks are callers that wait for the answer about a durable job.
-	asks map[ledger.RequestID]func(errkind.Kind)
-	// cut entries reach neither the store nor other entries.
-	cut bool
-	// drains is what it knows of drained data centres, drainsReadAt when it last asked.
+	core         *batch.Core
+	address      string
+	dataCentre   string
+	self         runs.Entry
+	links        ordered.Map[batch.LinkID, *simLink]
+	openRequests ordered.Map[batch.RequestID, *request]
+	nextID       uint64
+	ledger       *ledger.Core
+	// durableWaiters receive the answers to open requests for durable jobs.
+	durableWaiters map[ledger.RequestID]func(errkind.Kind)
+	// partitioned is set while the entry reaches neither the store nor other entries.
+	partitioned bool
+	// drains is the entry's view of the drained data centres, drainsReadAt when it last read them
+	// from the store.
 	drains       drains.State
 	drainsReadAt time.Time
 }
 
-func newEntryProcess(w *world, address, centre string) *entryProcess {
-	e := &entryProcess{process: process{w: w}, address: address, centre: centre}
+func newEntryProcess(sim *simulation, address, dataCentre string) *entryProcess {
+	e := &entryProcess{process: process{sim: sim}, address: address, dataCentre: dataCentre}
 	e.start()
 	return e
 }
 
 func (e *entryProcess) start() {
-	l := e.w.layout
-	e.life++
+	config := e.sim.config
+	e.incarnation++
 	e.dead = false
-	e.w.nextLife++
-	e.self = runs.Entry{Address: e.address, Incarnation: e.w.nextLife}
+	e.sim.nextIncarnation++
+	e.self = runs.Entry{Address: e.address, Incarnation: e.sim.nextIncarnation}
 	e.links = ordered.Map[batch.LinkID, *simLink]{}
-	e.open = ordered.Map[batch.RequestID, *request]{}
+	e.openRequests = ordered.Map[batch.RequestID, *request]{}
 	settings := batch.Standard()
-	settings.Seed, settings.DataCentre, settings.Policy = e.w.nextLife, e.centre, l.policy
-	settings.OwnerLease, settings.WorkerLease = l.ownerLease, l.runsOver
-	settings.RemoteFactor, settings.CrossCost = l.remoteFactor, l.crossCost
+	settings.Seed, settings.DataCentre, settings.Policy = e.sim.nextIncarnation, e.dataCentre, config.policy
+	settings.OwnerLease, settings.WorkerLease = config.ownerLease, config.runEndTimeout
+	settings.RemoteFactor, settings.CrossCost = config.remoteFactor, config.crossCost
 	e.core = batch.New(settings)
 	e.drains, e.drainsReadAt = drains.State{}, time.Time{}
-	e.asks = make(map[ledger.RequestID]func(errkind.Kind))
+	e.durableWaiters = make(map[ledger.RequestID]func(errkind.Kind))
 	e.ledger = ledger.New(ledger.Settings{
-		Self: e.self, OwnFor: l.ownFor, RunsOver: l.ownerLease + l.runsOver, SilentAfter: l.entrySilent,
+		Self: e.self, OwnFor: config.ownershipTTL, RunsOver: config.ownerLease + config.runEndTimeout, SilentAfter: config.entrySilenceTimeout,
 		KeepEnded: time.Hour, MaxOpen: 1000,
-	}, e.w.now)
-	e.ticks()
-	e.follow(0, true)
-	e.followDrains()
-	for _, a := range e.w.agents {
-		if a.entries[e.address] {
-			e.w.connect(a, e)
+	}, e.sim.now)
+	e.scheduleTick()
+	e.pollChanges(0, true)
+	e.drainLoop()
+	for _, a := range e.sim.agents {
+		if a.linkedEntries[e.address] {
+			e.sim.connect(a, e)
 		}
 	}
 }
 
-func (e *entryProcess) ticks() {
-	e.deliver(tick, func() {
-		e.core.Tick(e.w.now)
-		e.hearPeers()
+func (e *entryProcess) scheduleTick() {
+	e.deliver(tickInterval, func() {
+		e.core.Tick(e.sim.now)
+		e.updatePeers()
 		e.perform()
-		e.ticks()
+		e.scheduleTick()
 	})
 }
 
+// perform applies the output of the cores until they have none left.
 func (e *entryProcess) perform() {
-	for e.performOnce() {
+	for e.flush() {
 	}
 }
 
-func (e *entryProcess) performOnce() bool {
-	out := e.core.Flush(e.w.now)
+// flush applies the present output of the cores. It reports whether this gave new input to the core.
+func (e *entryProcess) flush() bool {
+	out := e.core.Flush(e.sim.now)
 	for _, n := range out.Notes {
-		e.w.tell("%s %s %s %s/%d on %s %s %s", e.address, n.Event, n.Job, n.Key.Task, n.Key.Run, n.Worker, n.How, n.Reason)
+		e.sim.logEvent("%s %s %s %s/%d on %s %s %s", e.address, n.Event, n.Job, n.Key.Task, n.Key.Run, n.Worker, n.How, n.Reason)
 	}
 	for _, id := range out.Closes {
 		if l := e.links.Get(id); l != nil {
@@ -92,41 +96,41 @@
 	}
 	for _, s := range out.Sends {
 		if l := e.links.Get(s.Link); l != nil {
-			l.toAgent(s.Msg)
+			l.sendToAgent(s.Msg)
 		}
 	}
 	if len(out.Suspects) > 0 {
-		e.tellSuspects(out.Suspects)
+		e.sendSuspects(out.Suspects)
 	}
 	for _, a := range out.Answers {
-		if r := e.open.Get(a.Request); r != nil {
-			e.w.answered(e, r, a)
+		if r := e.openRequests.Get(a.Request); r != nil {
+			e.sim.receiveAnswer(e, r, a)
 		}
 	}
-	return e.exchange(&out)
+	return e.applyToLedger(&out)
 }
 
-// tellSuspects tells the other entries of tasks that crash workers.
-func (e *entryProcess) tellSuspects(list []runs.Suspect) {
-	for _, other := range e.w.entries {
-		if other == e || e.cut || other.cut {
+// sendSuspects sends the tasks that are suspected of crashing workers to the other entries.
+func (e *entryProcess) sendSuspects(list []runs.Suspect) {
+	for _, other := range e.sim.entries {
+		if other == e || e.partitioned || other.partitioned {
 			continue
 		}
-		other.deliver(gossipEvery/4, func() {
-			other.core.LearnSuspects(e.w.now, list)
+		other.deliver(gossipInterval/4, func() {
+			other.core.LearnSuspects(e.sim.now, list)
 			other.perform()
 		})
 	}
 }
 
-func (e *entryProcess) kill(pause time.Duration) {
+func (e *entryProcess) kill(downtime time.Duration) {
 	e.dead = true
-	e.w.tell("%s entry killed", e.address)
-	for r := range e.open.Values() {
-		r.lost()
+	e.sim.logEvent("%s entry killed", e.address)
+	for r := range e.openRequests.Values() {
+		r.onConnectionLost()
 	}
 	for l := range e.links.Values() {
 		l.close()
 	}
-	e.w.after(pause, e.start)
+	e.sim.schedule(downtime, e.start)
 }
--- a/lab/emulator/faults.go
+++ b/lab/emulator/faults.go
@@ -7,165 +7,168 @@
 	"time"
 )
 
-// faultsByName are the troubles of scenarios. Those of the load itself (burst,
-// impossible, cancels) are looked up by the arrivals; the others act on a play.
-var faultsByName = map[string]func(p *play, f *Fault){
-	// burst multiplies the arrivals by its factor.
-	"burst": func(*play, *Fault) {},
+// faultsByName holds the faults of scenarios. The load generator applies those of the load itself
+// (burst, impossible, cancels); the others are injected into the simulation.
+var faultsByName = map[string]func(t *trial, f *Fault){
+	// burst multiplies the arrival rates by its factor.
+	"burst": func(*trial, *Fault) {},
 	// impossible makes a share of the jobs fail each time they run.
-	"impossible": func(*play, *Fault) {},
-	// cancels has a share of the callers leave before their job can end.
-	"cancels": func(*play, *Fault) {},
-	// slow makes workers take longer by its factor.
-	"slow": func(p *play, f *Fault) {
-		p.onWorkers(f, func(k *worker) { k.setPace(false, f.Factor) }, func(k *worker) { k.setPace(false, 0) })
+	"impossible": func(*trial, *Fault) {},
+	// cancels makes a share of the callers cancel their job within its objective.
+	"cancels": func(*trial, *Fault) {},
+	// slow makes runs on workers take longer by its factor.
+	"slow": func(t *trial, f *Fault) {
+		t.applyToWorkers(f, func(w *worker) { w.setSpeed(false, f.Factor) }, func(w *worker) { w.setSpeed(false, 0) })
 	},
-	// hanging has all tasks on workers stand still.
-	"hanging": func(p *play, f *Fault) {
-		p.onWorkers(f, func(k *worker) { k.setPace(true, 0) }, func(k *worker) { k.setPace(false, 0) })
+	// hanging stops the progress of all tasks on workers.
+	"hanging": func(t *trial, f *Fault) {
+		t.applyToWorkers(f, func(w *worker) { w.setSpeed(true, 0) }, func(w *worker) { w.setSpeed(false, 0) })
 	},
-	// failing has workers fail all that they start.
-	"failing": func(p *play, f *Fault) {
-		p.onWorkers(f, func(k *worker) { k.failing = true }, func(k *worker) { k.failing = false })
+	// failing makes workers fail all runs that they start.
+	"failing": func(t *trial, f *Fault) {
+		t.applyToWorkers(f, func(w *worker) { w.failing = true }, func(w *worker) { w.failing = false })
 	},
-	// gone takes workers away; they come back empty, or never if it has no end.
-	"gone": func(p *play, f *Fault) {
-		p.onWorkers(f, (*worker).crash, p.rebirth)
+	// gone crashes workers. They restart under a new ID and without runs, or never if the fault has
+	// no end.
+	"gone": func(t *trial, f *Fault) {
+		t.applyToWorkers(f, (*worker).crash, t.restartWorker)
 	},
-	// leaving drains workers and takes them away after a while.
-	"leaving": func(p *play, f *Fault) {
-		p.onWorkers(f, func(k *worker) {
-			k.draining = true
-			p.world.agents[k.number].announceOnce()
+	// leaving has workers announce that they drain, and crashes them when the fault ends.
+	"leaving": func(t *trial, f *Fault) {
+		t.applyToWorkers(f, func(w *worker) {
+			w.draining = true
+			t.sim.agents[w.number].announceOnce()
 		}, (*worker).crash)
 	},
-	// everything takes all processes and workers away, and brings them back.
-	"everything": func(p *play, f *Fault) { p.everything(f) },
-	// entries kills entries, which are started again.
-	"entries": func(p *play, f *Fault) {
-		w := p.world
-		for _, e := range pick(w, w.entries, f.Share) {
-			e.fail(f.For.Std()+w.layout.bootEntry, f.Silent)
+	// everything crashes all processes and workers and restarts them.
+	"everything": func(t *trial, f *Fault) { t.restartEverything(f) },
+	// entries kills entries, which restart.
+	"entries": func(t *trial, f *Fault) {
+		sim := t.sim
+		for _, e := range pick(sim, sim.entries, f.Share) {
+			e.fail(f.Duration.Std()+sim.config.bootEntry, f.Silent)
 		}
 	},
-	// agents kills agents, which are started again; their workers live.
-	"agents": func(p *play, f *Fault) {
-		w := p.world
-		for _, a := range pick(w, w.agents, f.Share) {
+	// agents kills agents, which restart; their workers keep running.
+	"agents": func(t *trial, f *Fault) {
+		sim := t.sim
+		for _, a := range pick(sim, sim.agents, f.Share) {
 			if !a.dead {
-				a.kill(f.For.Std() + w.layout.bootAgent)
+				a.kill(f.Duration.Std() + sim.config.bootAgent)
 			}
 		}
 	},
 	// frozen suspends entries.
-	"frozen": func(p *play, f *Fault) {
-		for _, e := range pick(p.world, p.world.entries, f.Share) {
-			e.freeze(f.For.Std())
+	"frozen": func(t *trial, f *Fault) {
+		for _, e := range pick(t.sim, t.sim.entries, f.Share) {
+			e.suspend(f.Duration.Std())
 		}
 	},
-	// unanswered loses a share of the orders to workers; some are carried out late.
-	"unanswered": func(p *play, f *Fault) {
-		p.world.lostOrders = f.Share
-		p.world.after(f.For.Std(), func() { p.world.lostOrders = 0 })
+	// unanswered drops the answers to a share of the orders to workers; some of these orders are
+	// carried out late.
+	"unanswered": func(t *trial, f *Fault) {
+		t.sim.orderLossShare = f.Share
+		t.sim.schedule(f.Duration.Std(), func() { t.sim.orderLossShare = 0 })
 	},
-	// drain has the operator drain a data centre, whose workers are slow by the factor
-	// for a while after it is taken back.
-	"drain": func(p *play, f *Fault) {
-		w := p.world
-		w.drain(f.DataCentre)
-		if f.For > 0 {
-			w.after(f.For.Std(), func() { w.undrain(f.DataCentre); p.cool(f) })
+	// drain drains a data centre. Its workers are slower by the factor for a while after it is back
+	// in use.
+	"drain": func(t *trial, f *Fault) {
+		sim := t.sim
+		sim.drain(f.DataCentre)
+		if f.Duration > 0 {
+			sim.schedule(f.Duration.Std(), func() { sim.undrain(f.DataCentre); t.slowAfterDrain(f) })
 		}
 	},
-	// store-away stops the platform's store.
-	"store-away": func(p *play, f *Fault) {
-		p.world.store.down = true
-		p.world.after(f.For.Std(), func() { p.world.store.down = false })
+	// store-away makes the platform's store unavailable.
+	"store-away": func(t *trial, f *Fault) {
+		t.sim.store.down = true
+		t.sim.schedule(f.Duration.Std(), func() { t.sim.store.down = false })
 	},
-	// store-lossy loses a share of the answers of the platform's store.
-	"store-lossy": func(p *play, f *Fault) {
-		p.world.store.lost = f.Share
-		p.world.after(f.For.Std(), func() { p.world.store.lost = 0 })
+	// store-lossy drops a share of the answers of the platform's store.
+	"store-lossy": func(t *trial, f *Fault) {
+		t.sim.store.answerLossShare = f.Share
+		t.sim.schedule(f.Duration.Std(), func() { t.sim.store.answerLossShare = 0 })
 	},
 }
 
-// FaultNames returns the names of the troubles.
+// FaultNames returns the names of the faults in alphabetical order.
 func FaultNames() []string { return slices.Sorted(maps.Keys(faultsByName)) }
 
-// begin has the troubles of the scenario happen in their time.
-func (p *play) begin(f *Fault) {
-	p.world.after(warmUp+f.At.Std(), func() {
-		p.world.tell("fault: %s", f.What)
-		faultsByName[f.What](p, f)
+// scheduleFault schedules a fault of the scenario.
+func (t *trial) scheduleFault(f *Fault) {
+	t.sim.schedule(warmUp+f.Start.Std(), func() {
+		t.sim.logEvent("fault: %s", f.Name)
+		faultsByName[f.Name](t, f)
 	})
 }
 
-// onWorkers does something to a share of the workers and undoes it later.
-func (p *play) onWorkers(f *Fault, do, undo func(k *worker)) {
-	w := p.world
-	var met []*worker
-	for _, k := range w.workers {
-		if f.DataCentre == "" || k.centre == f.DataCentre {
-			met = append(met, k)
+// applyToWorkers applies a fault to a share of the workers and undoes it when the fault ends.
+func (t *trial) applyToWorkers(f *Fault, apply, undo func(w *worker)) {
+	sim := t.sim
+	var affected []*worker
+	for _, w := range sim.workers {
+		if f.DataCentre == "" || w.dataCentre == f.DataCentre {
+			affected = append(affected, w)
 		}
 	}
-	for _, k := range pick(w, met, f.Share) {
-		do(k)
-		if f.For > 0 {
-			w.after(f.For.Std(), func() { undo(k) })
+	for _, w := range pick(sim, affected, f.Share) {
+		apply(w)
+		if f.Duration > 0 {
+			sim.schedule(f.Duration.Std(), func() { undo(w) })
 		}
 	}
 }
 
-// rebirth brings a worker back, which announces itself at once.
-func (p *play) rebirth(k *worker) {
-	k.reborn()
-	p.world.agents[k.number].announceOnce()
+// restartWorker restarts a worker under a new ID and announces it at once.
+func (t *trial) restartWorker(w *worker) {
+	w.restartWithNewID()
+	t.sim.agents[w.number].announceOnce()
 }
 
-// everything loses all at once.
-func (p *play) everything(f *Fault) {
-	w := p.world
-	for _, e := range w.entries {
-		e.fail(f.For.Std()+w.layout.bootEntry+w.bootSpread(), f.Silent)
+// restartEverything kills all entries, agents and workers at the same time; they restart with
+// jitter.
+func (t *trial) restartEverything(f *Fault) {
+	sim := t.sim
+	for _, e := range sim.entries {
+		e.fail(f.Duration.Std()+sim.config.bootEntry+sim.drawBootJitter(), f.Silent)
 	}
-	for i, a := range w.agents {
-		boot := f.For.Std() + w.layout.bootAgent + w.bootSpread()
+	for i, a := range sim.agents {
+		boot := f.Duration.Std() + sim.config.bootAgent + sim.drawBootJitter()
 		a.kill(boot)
-		w.workers[i].crash()
-		w.after(boot, func() { p.rebirth(w.workers[i]) })
+		sim.workers[i].crash()
+		sim.schedule(boot, func() { t.restartWorker(sim.workers[i]) })
 	}
 }
 
-// bootSpread is what processes differ by in starting.
-func (w *world) bootSpread() time.Duration {
-	return time.Duration(w.rand.Int64N(int64(bootSpread)))
+// drawBootJitter returns the random part of a process's start-up time.
+func (sim *simulation) drawBootJitter() time.Duration {
+	return time.Duration(sim.rand.Int64N(int64(bootJitter)))
 }
 
-const bootSpread = 150 * time.Millisecond
+const bootJitter = 150 * time.Millisecond
 
-// fail ends an entry. If it fails silently, its callers learn nothing of it.
-func (e *entryProcess) fail(pause time.Duration, silent bool) {
+// fail kills an entry. If it fails silently, its callers are not told that their connections are
+// lost.
+func (e *entryProcess) fail(downtime time.Duration, silent bool) {
 	if e.dead {
 		return
 	}
 	if silent {
-		for r := range e.open.Values() {
-			r.lost = func() {}
+		for r := range e.openRequests.Values() {
+			r.onConnectionLost = func() {}
 		}
 	}
-	e.kill(pause)
+	e.kill(downtime)
 }
 
-// pick draws a share of a list, at least one of it if the share is above 0. A share
-// of 0 stands for all.
-func pick[T any](w *world, list []T, share float64) []T {
+// pick draws a share of a list, at least one element. A share of 0 stands for all.
+func pick[T any](sim *simulation, list []T, share float64) []T {
 	if share <= 0 || share >= 1 {
 		return list
 	}
 	n := max(1, int(math.Round(share*float64(len(list)))))
 	var picked []T
-	for _, i := range w.rand.Perm(len(list))[:min(n, len(list))] {
+	for _, i := range sim.rand.Perm(len(list))[:min(n, len(list))] {
 		picked = append(picked, list[i])
 	}
 	return picked
--- a/lab/emulator/links.go
+++ b/lab/emulator/links.go
@@ -8,37 +8,36 @@
 	"peridotpick.example/wire/runs"
 )
 
-// connect opens a link from an agent to an entry, and opens it again whenever it
-// has closed or gone silent.
-func (w *world) connect(a *agentProcess, e *entryProcess) {
+// connect opens a link from an agent to an entry, and opens it again whenever it has closed or is
+// silent.
+func (sim *simulation) connect(a *agentProcess, e *entryProcess) {
 	if a.dead || e.dead {
-		w.after(linkRetry, func() { w.reconnect(a, e) })
+		sim.schedule(linkRetryDelay, func() { sim.reconnect(a, e) })
 		return
 	}
-	w.nextLink++
-	l := &simLink{id: w.nextLink, agent: a, entry: e, open: true, lastA: w.now, lastE: w.now}
-	lifeA, lifeE := a.life, e.life
-	way := w.layout.oneWay(a.worker.centre, e.centre)
-	e.deliver(time.Millisecond+way, func() {
+	sim.nextLink++
+	l := &simLink{id: sim.nextLink, agent: a, entry: e, open: true, lastToAgent: sim.now, lastToEntry: sim.now}
+	agentIncarnation, entryIncarnation := a.incarnation, e.incarnation
+	oneWay := sim.config.latency(a.worker.dataCentre, e.dataCentre)
+	e.deliver(time.Millisecond+oneWay, func() {
 		e.links.Put(batch.LinkID(l.id), l)
-		e.core.LinkUp(w.now, batch.LinkID(l.id))
+		e.core.LinkUp(sim.now, batch.LinkID(l.id))
 		e.perform()
 	})
 	self := e.self
-	a.deliver(2*time.Millisecond+2*way, func() {
+	a.deliver(2*time.Millisecond+2*oneWay, func() {
 		a.links.Put(runner.LinkID(l.id), l)
-		a.event(func() {
-			a.core.LinkUp(w.now, runner.LinkID(l.id), self)
-			a.core.OnDemand(w.now, runner.LinkID(l.id), !a.chosen[e.address])
+		a.handleEvent(func() {
+			a.core.LinkUp(sim.now, runner.LinkID(l.id), self)
+			a.core.OnDemand(sim.now, runner.LinkID(l.id), !a.chosen[e.address])
 		})
 	})
-	w.watchLink(l, lifeA, lifeE)
+	sim.watchLink(l, agentIncarnation, entryIncarnation)
 }
 
-// reconnect opens a link if the agent works with the entry, and neither side has got
-// one meanwhile.
-func (w *world) reconnect(a *agentProcess, e *entryProcess) {
-	if !a.entries[e.address] {
+// reconnect opens a link if the agent is to link to the entry and no link between them is open.
+func (sim *simulation) reconnect(a *agentProcess, e *entryProcess) {
+	if !a.linkedEntries[e.address] {
 		return
 	}
 	for l := range a.links.Values() {
@@ -46,27 +45,28 @@
 			return
 		}
 	}
-	w.connect(a, e)
+	sim.connect(a, e)
 }
 
-// watchLink is the agent's shell: a link that is silent too long is closed.
-func (w *world) watchLink(l *simLink, lifeA, lifeE int) {
-	w.after(50*time.Millisecond, func() {
-		limit := 1500 * time.Millisecond
+// watchLink closes a link on which the agent receives nothing for too long. The timeout is shorter
+// while the agent has runs of the entry.
+func (sim *simulation) watchLink(l *simLink, agentIncarnation, entryIncarnation int) {
+	sim.schedule(50*time.Millisecond, func() {
+		silenceTimeout := 1500 * time.Millisecond
 		if l.agent.core.Owes(runner.LinkID(l.id)) {
-			limit = 260 * time.Millisecond
+			silenceTimeout = 260 * time.Millisecond
 		}
-		gone := l.agent.life != lifeA || l.entry.life != lifeE || l.agent.dead || l.entry.dead
-		if !l.open || gone || w.now.Sub(l.lastA) > limit {
+		ended := l.agent.incarnation != agentIncarnation || l.entry.incarnation != entryIncarnation || l.agent.dead || l.entry.dead
+		if !l.open || ended || sim.now.Sub(l.lastToAgent) > silenceTimeout {
 			l.close()
-			w.after(linkRetry, func() { w.reconnect(l.agent, l.entry) })
+			sim.schedule(linkRetryDelay, func() { sim.reconnect(l.agent, l.entry) })
 			return
 		}
-		w.watchLink(l, lifeA, lifeE)
+		sim.watchLink(l, agentIncarnation, entryIncarnation)
 	})
 }
 
-// close ends a link. Each side hears of it in its own time.
+// close closes a link. Each end is told after its own delay.
 func (l *simLink) close() {
 	if !l.open {
 		return
@@ -74,51 +74,52 @@
 	l.open = false
 	l.agent.deliver(0, func() {
 		l.agent.links.Delete(runner.LinkID(l.id))
-		l.agent.event(func() { l.agent.core.LinkDown(l.agent.w.now, runner.LinkID(l.id)) })
+		l.agent.handleEvent(func() { l.agent.core.LinkDown(l.agent.sim.now, runner.LinkID(l.id)) })
 	})
 	l.entry.deliver(time.Millisecond, func() {
 		l.entry.links.Delete(batch.LinkID(l.id))
-		l.entry.core.LinkDown(l.entry.w.now, batch.LinkID(l.id))
+		l.entry.core.LinkDown(l.entry.sim.now, batch.LinkID(l.id))
 		l.entry.perform()
 	})
 }
 
-// latency returns the way of a message, and keeps the order of one direction.
-func (l *simLink) latency(last *time.Time) time.Duration {
-	w := l.agent.w
-	way := w.layout.oneWay(l.agent.worker.centre, l.entry.centre)
-	at := w.now.Add(way + time.Duration(w.rand.Int64N(int64(w.layout.jitter))))
+// deliveryDelay returns the delay of a message sent now. It keeps the order of the messages of one
+// direction, whose last delivery time is *last.
+func (l *simLink) deliveryDelay(last *time.Time) time.Duration {
+	sim := l.agent.sim
+	oneWay := sim.config.latency(l.agent.worker.dataCentre, l.entry.dataCentre)
+	at := sim.now.Add(oneWay + time.Duration(sim.rand.Int64N(int64(sim.config.jitter))))
 	if at.Before(*last) {
 		at = *last
 	}
 	*last = at
-	return at.Sub(w.now)
+	return at.Sub(sim.now)
 }
 
-func (l *simLink) toEntry(msg *runs.ToEntry) {
-	if l.silent {
+func (l *simLink) sendToEntry(msg *runs.ToEntry) {
+	if l.dropsMessages {
 		return
 	}
-	d := l.latency(&l.lastE)
-	l.entry.deliver(d, func() {
+	delay := l.deliveryDelay(&l.lastToEntry)
+	l.entry.deliver(delay, func() {
 		if !l.open {
 			return
 		}
-		l.entry.core.Receive(l.entry.w.now, batch.LinkID(l.id), msg)
+		l.entry.core.Receive(l.entry.sim.now, batch.LinkID(l.id), msg)
 		l.entry.perform()
 	})
 }
 
-func (l *simLink) toAgent(msg *runs.ToAgent) {
-	if l.silent {
+func (l *simLink) sendToAgent(msg *runs.ToAgent) {
+	if l.dropsMessages {
 		return
 	}
-	d := l.latency(&l.lastA)
-	l.agent.deliver(d, func() {
+	delay := l.deliveryDelay(&l.lastToAgent)
+	l.agent.deliver(delay, func() {
 		if !l.open {
 			return
 		}
-		l.lastA = l.agent.w.now
-		l.agent.event(func() { l.agent.core.Receive(l.agent.w.now, runner.LinkID(l.id), msg) })
+		l.lastToAgent = l.agent.sim.now
+		l.agent.handleEvent(func() { l.agent.core.Receive(l.agent.sim.now, runner.LinkID(l.id), msg) })
 	})
 }
--- a/lab/emulator/report.go
+++ b/lab/emulator/report.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// PrintHead writes the head of the table of outcomes.
+// PrintHead writes the header of the table of outcomes.
 func PrintHead(out io.Writer) *tabwriter.Writer {
 	const cellGap = 2
 	table := tabwriter.NewWriter(out, 0, 0, cellGap, ' ', tabwriter.AlignRight)
@@ -15,27 +15,27 @@
 	return table
 }
 
-// PrintRow writes an outcome as a row of means over its seeds.
+// PrintRow writes an outcome as a table row: means over its seeds, and job counts summed over them.
 func (o *Outcome) PrintRow(table io.Writer) {
 	var c Count
 	var sum Summary
-	n := float64(len(o.Plays))
-	for i := range o.Plays {
-		p := &o.Plays[i]
-		c.Jobs, c.InTime, c.Late = c.Jobs+p.Jobs, c.InTime+p.InTime, c.Late+p.Late
-		c.Refused, c.Failed = c.Refused+p.Refused, c.Failed+p.Failed
-		sum.Bound, sum.Nines, sum.Worst = sum.Bound+p.Bound/n, sum.Nines+p.Nines/n, sum.Worst+p.Worst/n
-		sum.WorstKind, sum.Wasted = sum.WorstKind+p.WorstKind/n, sum.Wasted+p.Wasted/n
-		sum.Held += p.Held / n
+	n := float64(len(o.Trials))
+	for i := range o.Trials {
+		s := &o.Trials[i]
+		c.Jobs, c.InTime, c.Late = c.Jobs+s.Jobs, c.InTime+s.InTime, c.Late+s.Late
+		c.Refused, c.Failed = c.Refused+s.Refused, c.Failed+s.Failed
+		sum.Bound, sum.Nines, sum.WorstWindows = sum.Bound+s.Bound/n, sum.Nines+s.Nines/n, sum.WorstWindows+s.WorstWindows/n
+		sum.WorstKind, sum.Wasted = sum.WorstKind+s.WorstKind/n, sum.Wasted+s.Wasted/n
+		sum.VainWait += s.VainWait / n
 	}
 	share := func(part int) float64 { return float64(part) / float64(max(c.Jobs, 1)) }
 	fmt.Fprintf(table, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.3f\t%.4f\t%d\t%.4f\t%.4f\t%.4f\t%.4f\t%d\t\n",
-		o.Scenario, o.lacks(), o.Worth, o.Spread, sum.Bound, sum.Nines, sum.Worst, sum.WorstKind, sum.Wasted, sum.Held,
+		o.Scenario, o.disabledMechanisms(), o.Score, o.StdDev, sum.Bound, sum.Nines, sum.WorstWindows, sum.WorstKind, sum.Wasted, sum.VainWait,
 		c.Jobs, share(c.InTime), share(c.Late), share(c.Refused), share(c.Failed), len(o.Broken()))
 }
 
-// lacks names the mechanisms that were switched off.
-func (o *Outcome) lacks() string {
+// disabledMechanisms returns the names of the mechanisms that were disabled, or "-".
+func (o *Outcome) disabledMechanisms() string {
 	if len(o.Without) == 0 {
 		return "-"
 	}
@@ -46,14 +46,14 @@
 	return strings.Join(names, ",")
 }
 
-// PrintComparisons writes the differences between two policies, a row a scenario.
+// PrintComparisons writes the differences between two policies, one row per scenario.
 func PrintComparisons(out io.Writer, list []*Comparison) error {
 	const cellGap = 2
 	table := tabwriter.NewWriter(out, 0, 0, cellGap, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(table, "scenario\tworth\twithout "+list[0].Other.lacks()+"\tdifference\tstandard error\tbetter\t")
+	fmt.Fprintln(table, "scenario\tworth\twithout "+list[0].Other.disabledMechanisms()+"\tdifference\tstandard error\tbetter\t")
 	for _, c := range list {
-		fmt.Fprintf(table, "%s\t%.4f\t%.4f\t%+.4f\t%.4f\t%d of %d\t\n", c.Base.Scenario, c.Base.Worth, c.Other.Worth,
-			c.Difference, c.Error, c.Better, len(c.Base.Plays))
+		fmt.Fprintf(table, "%s\t%.4f\t%.4f\t%+.4f\t%.4f\t%d of %d\t\n", c.Base.Scenario, c.Base.Score, c.Other.Score,
+			c.Difference, c.StdError, c.Better, len(c.Base.Trials))
 	}
 	return table.Flush()
 }
--- a/lab/emulator/restart_test.go
+++ b/lab/emulator/restart_test.go
@@ -6,72 +6,72 @@
 	"time"
 )
 
-// restartFaults have workers start again under the ID that they had.
-var restartFaults = map[string]func(w *world){
-	"worker restarts": func(w *world) {
-		k := w.workers[w.rand.IntN(len(w.workers))]
-		if k.down {
+// restartFaults restart workers under the same ID.
+var restartFaults = map[string]func(sim *simulation){
+	"worker restarts": func(sim *simulation) {
+		w := sim.workers[sim.rand.IntN(len(sim.workers))]
+		if w.down {
 			return
 		}
-		k.crash()
-		w.after(time.Duration(w.rand.IntN(1500))*time.Millisecond, k.restart)
+		w.crash()
+		sim.schedule(time.Duration(sim.rand.IntN(1500))*time.Millisecond, w.restart)
 	},
-	"worker restarts behind a cut": func(w *world) {
-		k := w.workers[w.rand.IntN(len(w.workers))]
-		if k.down || k.cut {
+	"worker restarts behind a cut": func(sim *simulation) {
+		w := sim.workers[sim.rand.IntN(len(sim.workers))]
+		if w.down || w.partitioned {
 			return
 		}
-		k.cut = true
-		w.after(time.Duration(w.rand.IntN(1000))*time.Millisecond, func() {
-			k.restart()
+		w.partitioned = true
+		sim.schedule(time.Duration(sim.rand.IntN(1000))*time.Millisecond, func() {
+			w.restart()
 		})
-		w.after(time.Duration(1000+w.rand.IntN(2000))*time.Millisecond, func() { k.cut = false })
+		sim.schedule(time.Duration(1000+sim.rand.IntN(2000))*time.Millisecond, func() { w.partitioned = false })
 	},
-	"worker restarts unseen": func(w *world) {
-		k := w.workers[w.rand.IntN(len(w.workers))]
-		if k.down {
+	"worker restarts unseen": func(sim *simulation) {
+		w := sim.workers[sim.rand.IntN(len(sim.workers))]
+		if w.down {
 			return
 		}
-		k.restart() // between two calls of its agent
+		w.restart() // between two requests of its agent
 	},
 }
 
 var restartFaultNames = []string{"worker restarts", "worker restarts behind a cut", "worker restarts unseen"}
 
-// playRestarts runs one schedule in which workers start again under their ID while orders
-// to them are carried out late, links break and agents are replaced.
-func playRestarts(seed uint64) *world {
-	w := newWorld(seed, testLayout())
-	w.story = *oneSeed != 0
+// simulateRestarts runs one schedule in which workers restart under the same ID while orders to
+// them are carried out late, links break and agents are replaced.
+func simulateRestarts(seed uint64) *simulation {
+	sim := newSimulation(seed, testConfig())
+	sim.logsEvents = *oneSeed != 0
 	for n := range 150 {
-		at := time.Duration(w.rand.Int64N(int64(8 * time.Second)))
-		tasks := 1 + w.rand.IntN(4)
-		w.after(at, func() { w.submit(testJob(w, fmt.Sprintf("%016x", n), tasks, 3)) })
+		at := time.Duration(sim.rand.Int64N(int64(8 * time.Second)))
+		tasks := 1 + sim.rand.IntN(4)
+		sim.schedule(at, func() { sim.submit(testJob(sim, fmt.Sprintf("%016x", n), tasks, 3)) })
 		if n%3 == 0 {
-			w.after(at, func() { w.submit(testDurable(w, fmt.Sprintf("d%015x", n), tasks)) })
+			sim.schedule(at, func() { sim.submit(testDurableJob(sim, fmt.Sprintf("d%015x", n), tasks)) })
 		}
 	}
-	w.lostOrders = 0.1 * float64(w.rand.IntN(4))
-	w.after(8*time.Second, func() { w.lostOrders = 0 })
-	for range 4 + w.rand.IntN(8) {
-		names, play := restartFaultNames, restartFaults
-		if w.rand.IntN(3) == 0 {
-			names, play = faultNames, faults
+	sim.orderLossShare = 0.1 * float64(sim.rand.IntN(4))
+	sim.schedule(8*time.Second, func() { sim.orderLossShare = 0 })
+	for range 4 + sim.rand.IntN(8) {
+		names, byName := restartFaultNames, restartFaults
+		if sim.rand.IntN(3) == 0 {
+			names, byName = scheduleFaultNames, scheduleFaults
 		}
-		name := names[w.rand.IntN(len(names))]
-		w.after(time.Duration(w.rand.Int64N(int64(8*time.Second))), func() { w.tell("fault: %s", name); play[name](w) })
+		name := names[sim.rand.IntN(len(names))]
+		sim.schedule(time.Duration(sim.rand.Int64N(int64(8*time.Second))), func() { sim.logEvent("fault: %s", name); byName[name](sim) })
 	}
-	w.run(40 * time.Second)
-	return w
+	sim.run(40 * time.Second)
+	return sim
 }
 
-// TestRestartSchedules: no task runs twice at a time and no end is lost, whatever a worker
-// that starts again under its ID still carries out of what was meant for its former life.
+// TestRestartSchedules checks that no task runs twice at a time and no end is lost when a worker
+// restarts under the same ID and still receives orders meant for its previous incarnation.
 func TestRestartSchedules(t *testing.T) {
 	done, ended := 0, 0
-	playSeeds(t, *seeds/3, playRestarts, func(w *world) {
-		done += w.checks.done
-		ended += checkEnded(w)
+	simulateSeeds(t, *seeds/3, simulateRestarts, func(sim *simulation) {
+		done += sim.checker.jobsDone
+		ended += checkJobsEnded(sim)
 	})
 	t.Logf("%d awaited jobs done, %d durable ones ended", done, ended)
 }
--- a/lab/emulator/scenario.go
+++ b/lab/emulator/scenario.go
@@ -10,45 +10,47 @@
 	"peridotpick.example/common/settings"
 )
 
-// Scenario is a load and the faults that come with it.
+// Scenario is a load and the faults injected under it.
 type Scenario struct {
-	// Name is that of its file.
+	// Name is the name of its file without the extension.
 	Name string `json:"-"`
-	// About says what the scenario is for.
+	// About describes the purpose of the scenario.
 	About string `json:"about"`
-	// Duration is how long callers send jobs.
+	// Duration is how long callers submit jobs.
 	Duration settings.Duration `json:"duration"`
-	// Load multiplies the rates of the deployment.
-	Load float64 `json:"load"`
-	// Swing is the part by which the rates of each data centre go up and down in a
-	// wave of the given period.
-	Swing  float64           `json:"swing"`
-	Period settings.Duration `json:"period"`
-	Faults []Fault           `json:"faults"`
+	// LoadFactor multiplies the rates of the deployment.
+	LoadFactor float64 `json:"load"`
+	// WaveAmplitude is the relative amplitude of a sine wave on the rate of each data centre,
+	// WavePeriod its period.
+	WaveAmplitude float64           `json:"swing"`
+	WavePeriod    settings.Duration `json:"period"`
+	Faults        []Fault           `json:"faults"`
 }
 
-// Fault is one trouble of a scenario.
+// Fault is one fault of a scenario.
 type Fault struct {
-	// What names the trouble; see Faults.
-	What string `json:"what"`
-	// At is when it begins, For how long it lasts.
-	At  settings.Duration `json:"at"`
-	For settings.Duration `json:"for"`
-	// Share is the part of workers or jobs that it meets.
+	// Name is one of FaultNames.
+	Name string `json:"what"`
+	// Start is when the fault begins, Duration how long it lasts.
+	Start    settings.Duration `json:"at"`
+	Duration settings.Duration `json:"for"`
+	// Share is the share of instances, jobs or messages that it affects.
 	Share float64 `json:"share"`
-	// Factor is how strong it is.
+	// Factor is its strength; the meaning depends on the fault.
 	Factor float64 `json:"factor"`
-	// Kind and DataCentre narrow it down; empty if all are met.
+	// Kind and DataCentre limit the fault to a kind of jobs and a data centre; empty stands for
+	// all.
 	Kind       string `json:"kind"`
 	DataCentre string `json:"dataCentre"`
-	// Silent troubles break no connection: the other side learns nothing.
+	// Silent faults break no connection, so that the other side is not told.
 	Silent bool `json:"silent"`
 }
 
-// LoadScenario reads and checks a scenario.
+// LoadScenario reads and validates a scenario: a packaged one, or the file at path name if name
+// ends in .json.
 func LoadScenario(name string) (*Scenario, error) {
-	s := &Scenario{Name: strings.TrimSuffix(path.Base(name), ".json"), Load: 1}
-	if err := read("scenarios", name, s); err != nil {
+	s := &Scenario{Name: strings.TrimSuffix(path.Base(name), ".json"), LoadFactor: 1}
+	if err := readFile("scenarios", name, s); err != nil {
 		return nil, err
 	}
 	if err := s.problems().Err(); err != nil {
@@ -59,11 +61,11 @@
 
 func (s *Scenario) problems() settings.Problems {
 	var p settings.Problems
-	between(&p, "/duration", s.Duration.Std().Seconds(), 1, maxSeconds)
-	between(&p, "/load", s.Load, 0.01, 100)
-	between(&p, "/swing", s.Swing, 0, 1)
-	if s.Swing > 0 {
-		between(&p, "/period", s.Period.Std().Seconds(), 0.1, maxSeconds)
+	checkRange(&p, "/duration", s.Duration.Std().Seconds(), 1, maxSeconds)
+	checkRange(&p, "/load", s.LoadFactor, 0.01, 100)
+	checkRange(&p, "/swing", s.WaveAmplitude, 0, 1)
+	if s.WaveAmplitude > 0 {
+		checkRange(&p, "/period", s.WavePeriod.Std().Seconds(), 0.1, maxSeconds)
 	}
 	for i := range s.Faults {
 		s.Faults[i].check(&p, "/faults/"+strconv.Itoa(i), s.Duration.Std().Seconds())
@@ -71,12 +73,12 @@
 	return p
 }
 
-func (f *Fault) check(p *settings.Problems, at string, duration float64) {
-	if faultsByName[f.What] == nil {
-		p.Add(at+"/what", f.What, "one of "+strings.Join(FaultNames(), ", "))
+func (f *Fault) check(p *settings.Problems, pointer string, duration float64) {
+	if faultsByName[f.Name] == nil {
+		p.Add(pointer+"/what", f.Name, "one of "+strings.Join(FaultNames(), ", "))
 	}
-	between(p, at+"/at", f.At.Std().Seconds(), 0, duration)
-	between(p, at+"/for", f.For.Std().Seconds(), 0, maxSeconds)
-	between(p, at+"/share", f.Share, 0, 1)
-	between(p, at+"/factor", f.Factor, 0, 1000)
+	checkRange(p, pointer+"/at", f.Start.Std().Seconds(), 0, duration)
+	checkRange(p, pointer+"/for", f.Duration.Std().Seconds(), 0, maxSeconds)
+	checkRange(p, pointer+"/share", f.Share, 0, 1)
+	checkRange(p, pointer+"/factor", f.Factor, 0, 1000)
 }
--- a/lab/emulator/schedule_test.go
+++ b/lab/emulator/schedule_test.go
@@ -14,196 +14,197 @@
 	"peridotpick.example/wire/runs"
 )
 
-// testLayout is a small deployment with much disorder in its messages.
-func testLayout() *layout {
-	return &layout{
-		centres:  []centre{{name: "d", entries: 2, workers: 4}},
-		capacity: func(int) room.Room { return room.Room{CPU: 8000, Memory: 8000} }, rackSize: 4,
+// testConfig is a small deployment with much reordering and delay of messages.
+func testConfig() *simConfig {
+	return &simConfig{
+		dataCentres: []dataCentreConfig{{name: "d", entries: 2, workers: 4}},
+		capacity:    func(int) room.Room { return room.Room{CPU: 8000, Memory: 8000} }, rackSize: 4,
 		resend: 1300 * time.Millisecond, ownerLease: 390 * time.Millisecond, workerLease: 780 * time.Millisecond,
-		runsOver: 900 * time.Millisecond, longestLease: 5 * time.Second, ownFor: 2 * time.Second, entrySilent: 800 * time.Millisecond,
-		within: 300 * time.Microsecond, jitter: 1200 * time.Microsecond, caller: 3 * time.Millisecond,
-		announceEvery: 300 * time.Millisecond, lateShare: 0.1, lookWait: 100 * time.Millisecond,
+		runEndTimeout: 900 * time.Millisecond, longestLease: 5 * time.Second, ownershipTTL: 2 * time.Second, entrySilenceTimeout: 800 * time.Millisecond,
+		localLatency: 300 * time.Microsecond, jitter: 1200 * time.Microsecond, callerLatency: 3 * time.Millisecond,
+		announceInterval: 300 * time.Millisecond, delayedShare: 0.1, pollWait: 100 * time.Millisecond,
 		crossCost: time.Millisecond, remoteFactor: 1.5,
 	}
 }
 
-// testPatience is how long callers of the schedules wait.
-const testPatience = 1500 * time.Millisecond
+// testTimeout is how long callers of the schedules wait for an answer.
+const testTimeout = 1500 * time.Millisecond
 
-// testJob returns a job of one step, whose work is drawn at each start.
-func testJob(w *world, name string, tasks, attempts int) *jobSpec {
-	need := room.Room{CPU: 1500 + w.rand.IntN(1500), Memory: 10}
+// testJob returns a job of one step, the work of whose tasks is drawn at each start.
+func testJob(sim *simulation, name string, tasks, submissions int) *jobSpec {
+	need := room.Room{CPU: 1500 + sim.rand.IntN(1500), Memory: 10}
 	return &jobSpec{
-		name: name, queue: testQueue, attempts: attempts, patience: testPatience,
+		name: name, queue: testQueue, submissionsLeft: submissions, timeout: testTimeout,
 		steps: []batch.Step{{Count: tasks, Need: need, Estimate: 200 * time.Millisecond}},
-		run: func(runs.Key) (time.Duration, bool) {
-			return time.Duration(20+w.rand.IntN(400)) * time.Millisecond, w.rand.IntN(100) == 0
+		taskWork: func(runs.Key) (time.Duration, bool) {
+			return time.Duration(20+sim.rand.IntN(400)) * time.Millisecond, sim.rand.IntN(100) == 0
 		},
-		choose: func() *entryProcess { return w.entries[w.rand.IntN(len(w.entries))] },
+		nextEntry: func() *entryProcess { return sim.entries[sim.rand.IntN(len(sim.entries))] },
 	}
 }
 
-// testDurable returns a durable job; its caller hands it in until it is accepted.
-func testDurable(w *world, name string, tasks int) *jobSpec {
-	j := testJob(w, name, tasks, 1000)
+// testDurableJob returns a durable job, which its caller submits until it is accepted.
+func testDurableJob(sim *simulation, name string, tasks int) *jobSpec {
+	j := testJob(sim, name, tasks, 1000)
 	j.durable = true
 	return j
 }
 
 var (
-	seeds    = flag.Int("schedules", 150, "number of seeded schedules")
-	oneSeed  = flag.Uint64("seed", 0, "play only this seed")
-	duration = 12 * time.Second
+	seeds            = flag.Int("schedules", 150, "number of seeded schedules")
+	oneSeed          = flag.Uint64("seed", 0, "simulate only this seed")
+	scheduleDuration = 12 * time.Second
 )
 
-var testQueue = &catalog.Queue{Name: "q", Service: service, MaxAttempts: 3, Stretch: 1.6, Target: 500 * time.Millisecond}
+var testQueue = &catalog.Queue{Name: "q", Service: serviceName, MaxAttempts: 3, Stretch: 1.6, Target: 500 * time.Millisecond}
 
-// faults are what may happen in a schedule; each seed draws a few of them.
-var faults = map[string]func(w *world){
-	"agent killed": func(w *world) {
-		a := w.agents[w.rand.IntN(len(w.agents))]
+// scheduleFaults are the faults of the schedules; each seed draws a few of them.
+var scheduleFaults = map[string]func(sim *simulation){
+	"agent killed": func(sim *simulation) {
+		a := sim.agents[sim.rand.IntN(len(sim.agents))]
 		if !a.dead {
-			a.kill(time.Duration(100+w.rand.IntN(2000)) * time.Millisecond)
+			a.kill(time.Duration(100+sim.rand.IntN(2000)) * time.Millisecond)
 		}
 	},
-	"entry killed": func(w *world) {
-		e := w.entries[w.rand.IntN(len(w.entries))]
+	"entry killed": func(sim *simulation) {
+		e := sim.entries[sim.rand.IntN(len(sim.entries))]
 		if !e.dead {
-			e.kill(time.Duration(100+w.rand.IntN(2000)) * time.Millisecond)
+			e.kill(time.Duration(100+sim.rand.IntN(2000)) * time.Millisecond)
 		}
 	},
-	"agent frozen": func(w *world) {
-		w.agents[w.rand.IntN(len(w.agents))].freeze(time.Duration(w.rand.IntN(3000)) * time.Millisecond)
+	"agent frozen": func(sim *simulation) {
+		sim.agents[sim.rand.IntN(len(sim.agents))].suspend(time.Duration(sim.rand.IntN(3000)) * time.Millisecond)
 	},
-	"entry frozen": func(w *world) {
-		w.entries[w.rand.IntN(len(w.entries))].freeze(time.Duration(w.rand.IntN(3000)) * time.Millisecond)
+	"entry frozen": func(sim *simulation) {
+		sim.entries[sim.rand.IntN(len(sim.entries))].suspend(time.Duration(sim.rand.IntN(3000)) * time.Millisecond)
 	},
-	"links reset": func(w *world) {
-		for l := range w.agents[w.rand.IntN(len(w.agents))].links.Values() {
+	"links reset": func(sim *simulation) {
+		for l := range sim.agents[sim.rand.IntN(len(sim.agents))].links.Values() {
 			l.close()
 		}
 	},
-	"links silent": func(w *world) {
-		for l := range w.agents[w.rand.IntN(len(w.agents))].links.Values() {
-			l.silent = true
+	"links silent": func(sim *simulation) {
+		for l := range sim.agents[sim.rand.IntN(len(sim.agents))].links.Values() {
+			l.dropsMessages = true
 		}
 	},
-	"worker crashes": func(w *world) {
-		k := w.workers[w.rand.IntN(len(w.workers))]
-		if k.down {
+	"worker crashes": func(sim *simulation) {
+		w := sim.workers[sim.rand.IntN(len(sim.workers))]
+		if w.down {
 			return
 		}
-		k.crash()
-		w.after(time.Duration(w.rand.IntN(2000))*time.Millisecond, k.reborn)
+		w.crash()
+		sim.schedule(time.Duration(sim.rand.IntN(2000))*time.Millisecond, w.restartWithNewID)
 	},
-	"worker hangs": func(w *world) {
-		k := w.workers[w.rand.IntN(len(w.workers))]
-		k.setPace(true, 0)
-		w.after(2*time.Second, func() { k.setPace(false, 0) })
+	"worker hangs": func(sim *simulation) {
+		w := sim.workers[sim.rand.IntN(len(sim.workers))]
+		w.setSpeed(true, 0)
+		sim.schedule(2*time.Second, func() { w.setSpeed(false, 0) })
 	},
-	"worker fails all": func(w *world) {
-		k := w.workers[w.rand.IntN(len(w.workers))]
-		k.failing = true
-		w.after(2*time.Second, func() { k.failing = false })
+	"worker fails all": func(sim *simulation) {
+		w := sim.workers[sim.rand.IntN(len(sim.workers))]
+		w.failing = true
+		sim.schedule(2*time.Second, func() { w.failing = false })
 	},
-	"orders lost": func(w *world) {
-		w.lostOrders = 0.3
-		w.after(2*time.Second, func() { w.lostOrders = 0 })
+	"orders lost": func(sim *simulation) {
+		sim.orderLossShare = 0.3
+		sim.schedule(2*time.Second, func() { sim.orderLossShare = 0 })
 	},
 }
 
-// faultNames fixes the order in which seeds draw.
-var faultNames = []string{
+// scheduleFaultNames fixes the order from which seeds draw.
+var scheduleFaultNames = []string{
 	"agent killed", "entry killed", "agent frozen", "entry frozen", "links reset", "links silent", "worker crashes",
 	"worker hangs", "worker fails all", "orders lost",
 }
 
-// playSchedule runs one schedule.
-func playSchedule(seed uint64) *world {
-	w := newWorld(seed, testLayout())
-	w.story = *oneSeed != 0
+// simulateSchedule runs one schedule of awaited jobs and faults.
+func simulateSchedule(seed uint64) *simulation {
+	sim := newSimulation(seed, testConfig())
+	sim.logsEvents = *oneSeed != 0
 	for n := range 300 {
-		at := time.Duration(w.rand.Int64N(int64(duration - 3*time.Second)))
-		tasks := 1 + w.rand.IntN(5)
-		w.after(at, func() { w.submit(testJob(w, fmt.Sprintf("%016x", n), tasks, 3)) })
+		at := time.Duration(sim.rand.Int64N(int64(scheduleDuration - 3*time.Second)))
+		tasks := 1 + sim.rand.IntN(5)
+		sim.schedule(at, func() { sim.submit(testJob(sim, fmt.Sprintf("%016x", n), tasks, 3)) })
 	}
-	for range 1 + w.rand.IntN(8) {
-		name := faultNames[w.rand.IntN(len(faultNames))]
-		w.after(time.Duration(w.rand.Int64N(int64(duration-4*time.Second))), func() { w.tell("fault: %s", name); faults[name](w) })
+	for range 1 + sim.rand.IntN(8) {
+		name := scheduleFaultNames[sim.rand.IntN(len(scheduleFaultNames))]
+		sim.schedule(time.Duration(sim.rand.Int64N(int64(scheduleDuration-4*time.Second))), func() { sim.logEvent("fault: %s", name); scheduleFaults[name](sim) })
 	}
-	w.run(duration)
-	return w
+	sim.run(scheduleDuration)
+	return sim
 }
 
 func TestSchedules(t *testing.T) {
 	done, starts := 0, 0
-	playSeeds(t, *seeds, playSchedule, func(w *world) {
-		done += w.checks.done
-		starts += w.checks.starts
+	simulateSeeds(t, *seeds, simulateSchedule, func(sim *simulation) {
+		done += sim.checker.jobsDone
+		starts += sim.checker.starts
 	})
 	t.Logf("%d jobs done, %d starts", done, starts)
 }
 
-// playSeeds plays a schedule with each seed up to the last, or with the one that was asked
-// for, looks at each outcome and reports the broken promises.
-func playSeeds(t *testing.T, last int, play func(seed uint64) *world, look func(*world)) {
+// simulateSeeds runs a schedule with the seeds 1 to count, or with the one that the flag selects,
+// calls inspect with each simulation and reports the violations of guarantees.
+func simulateSeeds(t *testing.T, count int, simulate func(seed uint64) *simulation, inspect func(*simulation)) {
 	t.Helper()
-	first, until := uint64(1), uint64(last)
+	first, last := uint64(1), uint64(count)
 	if *oneSeed != 0 {
-		first, until = *oneSeed, *oneSeed
+		first, last = *oneSeed, *oneSeed
 	}
-	for seed := first; seed <= until; seed++ {
-		w := play(seed)
-		look(w)
-		for _, b := range w.checks.broken {
+	for seed := first; seed <= last; seed++ {
+		sim := simulate(seed)
+		inspect(sim)
+		for _, b := range sim.checker.violations {
 			t.Errorf("seed %d: %s", seed, b)
 		}
-		for _, line := range w.lines {
+		for _, line := range sim.eventLog {
 			t.Log(line)
 		}
 	}
 }
 
-// TestCalm shows that the schedules serve work: without faults nearly all jobs end.
-func TestCalm(t *testing.T) {
+// TestScheduleWithoutFaults checks that without faults nearly all jobs of a schedule end.
+func TestScheduleWithoutFaults(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, testLayout())
+	sim := newSimulation(1, testConfig())
 	for n := range 100 {
-		w.after(time.Second+time.Duration(n)*50*time.Millisecond, func() { w.submit(testJob(w, fmt.Sprintf("%016x", n), 2, 1)) })
+		sim.schedule(time.Second+time.Duration(n)*50*time.Millisecond, func() { sim.submit(testJob(sim, fmt.Sprintf("%016x", n), 2, 1)) })
 	}
-	w.run(10 * time.Second)
-	is.Equal(len(w.checks.broken), 0)
-	is.True(w.checks.done >= 95)
+	sim.run(10 * time.Second)
+	is.Equal(len(sim.checker.violations), 0)
+	is.True(sim.checker.jobsDone >= 95)
 }
 
-// TestLeftoversEndInTime plays late starts, cancels and entries that go for good, and
-// checks that no task of a cancelled or left job runs on beyond the bound.
-func TestLeftoversEndInTime(t *testing.T) {
-	const bound = 3 * time.Second // within which a cancelled job's tasks are gone
+// TestTasksOfCancelledJobsEndInTime checks that no task of a cancelled job runs longer than a limit
+// after the cancellation, while orders are lost or carried out late and an entry is killed for
+// good.
+func TestTasksOfCancelledJobsEndInTime(t *testing.T) {
+	const limit = 3 * time.Second // time after the cancellation within which tasks must have ended
 	for seed := uint64(1); seed <= 12; seed++ {
-		w := newWorld(seed, testLayout())
-		w.lostOrders = 0.2
-		left := make(map[string]time.Time)
+		sim := newSimulation(seed, testConfig())
+		sim.orderLossShare = 0.2
+		cancelledAt := make(map[string]time.Time)
 		for n := range 200 {
-			j := testJob(w, fmt.Sprintf("%016x", n), 2, 1)
-			j.leavesAfter = time.Duration(20+w.rand.IntN(300)) * time.Millisecond
-			at := time.Duration(w.rand.Int64N(int64(5 * time.Second)))
-			w.after(at, func() { w.submit(j) })
-			w.after(at+j.leavesAfter, func() { left[j.name] = w.now })
+			j := testJob(sim, fmt.Sprintf("%016x", n), 2, 1)
+			j.cancelAfter = time.Duration(20+sim.rand.IntN(300)) * time.Millisecond
+			at := time.Duration(sim.rand.Int64N(int64(5 * time.Second)))
+			sim.schedule(at, func() { sim.submit(j) })
+			sim.schedule(at+j.cancelAfter, func() { cancelledAt[j.name] = sim.now })
 		}
-		w.after(3*time.Second, func() { w.entries[0].kill(time.Hour) })
-		w.every(50*time.Millisecond, worldStart.Add(10*time.Second), func() {
-			for _, k := range w.workers {
-				for task := range k.running.All() {
+		sim.schedule(3*time.Second, func() { sim.entries[0].kill(time.Hour) })
+		sim.repeat(50*time.Millisecond, simulationStart.Add(10*time.Second), func() {
+			for _, w := range sim.workers {
+				for task := range w.running.All() {
 					key := runs.Key{Task: task}
-					if since, gone := left[key.Job()]; gone && w.now.Sub(since) > bound {
-						w.checks.breaks("%s still runs %v after its caller left", task, w.now.Sub(since))
+					if since, cancelled := cancelledAt[key.Job()]; cancelled && sim.now.Sub(since) > limit {
+						sim.checker.reportViolation("%s still runs %v after its caller left", task, sim.now.Sub(since))
 					}
 				}
 			}
 		})
-		w.run(10 * time.Second)
-		for _, b := range w.checks.broken {
+		sim.run(10 * time.Second)
+		for _, b := range sim.checker.violations {
 			t.Errorf("seed %d: %s", seed, b)
 		}
 	}
--- a/lab/emulator/store.go
+++ b/lab/emulator/store.go
@@ -8,46 +8,48 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Times of the simulated store.
+// Time constants of the store and of its clients.
 const (
-	storeDelay   = 5 * time.Millisecond
-	storeTimeout = 300 * time.Millisecond
-	followEvery  = 80 * time.Millisecond
+	storeOneWay        = 5 * time.Millisecond
+	storeTimeout       = 300 * time.Millisecond
+	changePollInterval = 80 * time.Millisecond
 )
 
-// store simulates the platform's store: linearizable rows, lost answers, writes that
-// are carried out late, outages for all or for single entries.
+// store simulates the platform's store: linearizable writes, lost answers, writes that are carried
+// out late, and outages for all or for single entries.
 type store struct {
-	w       *world
+	sim     *simulation
 	rows    map[string]ledger.Stored
 	version uint64
 	changes []ledger.Stored
 	down    bool
-	// lost is the share of writes whose answer is lost; some are carried out late.
-	lost float64
-	// drained are the data centres that the operator has drained, with the time of it.
+	// answerLossShare is the share of writes whose answer is lost; half of these are carried out
+	// late, the others not at all. The entry repeats them in any case.
+	answerLossShare float64
+	// drained holds the drained data centres with the time at which each was drained.
 	drained map[string]time.Time
 }
 
-func (s *store) write(w ledger.Write) ledger.Outcome {
-	current := s.rows[w.Job]
-	if current.Version != w.Expect {
-		current.Job = w.Job
-		return ledger.Outcome{Fate: ledger.Conflict, Current: current}
+// write applies a write if the stored row has the expected version.
+func (s *store) write(write ledger.Write) ledger.Outcome {
+	stored := s.rows[write.Job]
+	if stored.Version != write.Expect {
+		stored.Job = write.Job
+		return ledger.Outcome{Fate: ledger.Conflict, Current: stored}
 	}
 	s.version++
-	changed := ledger.Stored{Job: w.Job, Row: w.Row, Version: s.version}
+	changed := ledger.Stored{Job: write.Job, Row: write.Row, Version: s.version}
 	s.changes = append(s.changes, changed)
-	if w.Row == nil {
-		delete(s.rows, w.Job)
+	if write.Row == nil {
+		delete(s.rows, write.Job)
 	} else {
-		s.rows[w.Job] = changed
-		s.w.stored(changed)
+		s.rows[write.Job] = changed
+		s.sim.recordDurableEnd(changed)
 	}
 	return ledger.Outcome{Fate: ledger.Applied, Version: s.version}
 }
 
-func (s *store) after(version uint64) []ledger.Stored {
+func (s *store) changesAfter(version uint64) []ledger.Stored {
 	var list []ledger.Stored
 	for _, c := range s.changes {
 		if c.Version > version {
@@ -57,62 +59,63 @@
 	return list
 }
 
-// follow is the shell's loop over the changes.
-func (e *entryProcess) follow(seen uint64, first bool) {
-	w := e.w
-	sentAt := w.now
-	if w.store.down || e.cut {
-		e.deliver(storeTimeout, func() { e.follow(seen, first) })
+// pollChanges reads the change feed of durable jobs at intervals and passes the changes to the
+// ledger.
+func (e *entryProcess) pollChanges(since uint64, first bool) {
+	sim := e.sim
+	sentAt := sim.now
+	if sim.store.down || e.partitioned {
+		e.deliver(storeTimeout, func() { e.pollChanges(since, first) })
 		return
 	}
-	life := e.life
-	w.after(storeDelay, func() {
-		rows, version := w.store.after(seen), w.store.version
-		w.after(storeDelay, func() {
-			e.handle(life, func() {
+	incarnation := e.incarnation
+	sim.schedule(storeOneWay, func() {
+		rows, version := sim.store.changesAfter(since), sim.store.version
+		sim.schedule(storeOneWay, func() {
+			e.handle(incarnation, func() {
 				if first {
-					e.ledger.Load(w.now, rows, sentAt)
+					e.ledger.Load(sim.now, rows, sentAt)
 				} else {
-					e.ledger.Learn(w.now, rows, sentAt)
+					e.ledger.Learn(sim.now, rows, sentAt)
 				}
 				e.perform()
-				e.deliver(followEvery, func() { e.follow(version, false) })
+				e.deliver(changePollInterval, func() { e.pollChanges(version, false) })
 			})
 		})
 	})
 }
 
-// write carries one write out, again and again until its fate is known.
+// write sends a write to the store, and repeats it until an answer says whether it was applied.
 func (e *entryProcess) write(write ledger.Write) {
-	w := e.w
-	again := func() { e.deliver(storeTimeout, func() { e.write(write) }) }
-	if w.store.down || e.cut {
-		again()
+	sim := e.sim
+	retry := func() { e.deliver(storeTimeout, func() { e.write(write) }) }
+	if sim.store.down || e.partitioned {
+		retry()
 		return
 	}
-	if w.rand.Float64() < w.store.lost {
-		if w.rand.IntN(2) == 0 {
-			w.after(time.Duration(w.rand.IntN(4000))*time.Millisecond, func() { w.store.write(write) })
+	if sim.rand.Float64() < sim.store.answerLossShare {
+		if sim.rand.IntN(2) == 0 {
+			sim.schedule(time.Duration(sim.rand.IntN(4000))*time.Millisecond, func() { sim.store.write(write) })
 		}
-		again()
+		retry()
 		return
 	}
-	life := e.life
-	w.after(storeDelay, func() {
-		outcome := w.store.write(write)
-		w.after(storeDelay, func() {
-			e.handle(life, func() {
-				e.ledger.Written(w.now, write, outcome)
+	incarnation := e.incarnation
+	sim.schedule(storeOneWay, func() {
+		outcome := sim.store.write(write)
+		sim.schedule(storeOneWay, func() {
+			e.handle(incarnation, func() {
+				e.ledger.Written(sim.now, write, outcome)
 				e.perform()
 			})
 		})
 	})
 }
 
-// exchange is the shell between the ledger and the core. It reports whether the
-// core was given something.
-func (e *entryProcess) exchange(out *batch.Output) bool {
-	now := e.w.now
+// applyToLedger passes the core's output to the ledger and applies the ledger's output. It reports
+// whether the core received input, so that its output has to be read again.
+func (e *entryProcess) applyToLedger(out *batch.Output) bool {
+	now := e.sim.now
 	for _, name := range out.Disowned {
 		e.ledger.GaveUp(now, name)
 	}
@@ -120,75 +123,75 @@
 		e.ledger.Record(now, r)
 	}
 	for _, u := range out.Unowned {
-		noted, void := e.ledger.Settle(now, u.End)
+		acknowledged, void := e.ledger.Settle(now, u.End)
 		keys := []runs.Key{u.End.Key}
-		if noted {
+		if acknowledged {
 			e.core.Settle(now, u.Link, keys, nil)
 		}
 		if void {
 			e.core.Settle(now, u.Link, nil, keys)
 		}
 	}
-	led := e.ledger.Flush()
+	ledgerOut := e.ledger.Flush()
 	e.core.Confirm(e.ledger.OwnedUntil())
-	for _, n := range led.Notes {
-		e.w.tell("%s ledger %s %s epoch %d %s", e.address, n.Event, n.Job, n.Epoch, n.Reason)
+	for _, n := range ledgerOut.Notes {
+		e.sim.logEvent("%s ledger %s %s epoch %d %s", e.address, n.Event, n.Job, n.Epoch, n.Reason)
 	}
-	for _, write := range led.Writes {
+	for _, write := range ledgerOut.Writes {
 		e.write(write)
 	}
-	for _, a := range led.Answers {
-		e.answered(a)
+	for _, a := range ledgerOut.Answers {
+		e.answerDurable(a)
 	}
-	for _, name := range led.Disowns {
+	for _, name := range ledgerOut.Disowns {
 		e.core.Disown(now, name)
 	}
-	for _, name := range led.Cancelled {
+	for _, name := range ledgerOut.Cancelled {
 		e.core.Cancelled(now, name)
 	}
-	for _, s := range led.Stored {
+	for _, s := range ledgerOut.Stored {
 		e.core.Recorded(now, s.Job, s.Seq)
 	}
-	for _, o := range led.Owns {
+	for _, o := range ledgerOut.Owns {
 		e.core.Own(now, &batch.Durable{
-			Job: o.Job, Queue: e.w.jobs[o.Job].queue, Spec: o.Row.Spec, Steps: o.Row.Steps, Progress: o.Row.Progress, SafeAt: o.SafeAt,
+			Job: o.Job, Queue: e.sim.jobs[o.Job].queue, Spec: o.Row.Spec, Steps: o.Row.Steps, Progress: o.Row.Progress, SafeAt: o.SafeAt,
 		})
 	}
-	for _, name := range led.Ended {
-		e.w.checks.shown(e, name)
+	for _, name := range ledgerOut.Ended {
+		e.sim.checker.checkReportedState(e, name)
 	}
-	return len(led.Disowns)+len(led.Cancelled)+len(led.Stored)+len(led.Owns) > 0
+	return len(ledgerOut.Disowns)+len(ledgerOut.Cancelled)+len(ledgerOut.Stored)+len(ledgerOut.Owns) > 0
 }
 
-// hearPeers tells the ledger which other entries speak.
-func (e *entryProcess) hearPeers() {
+// updatePeers tells the ledger which other entries are reachable.
+func (e *entryProcess) updatePeers() {
 	var list []runs.Entry
-	for _, other := range e.w.entries {
-		if other != e && !other.dead && !e.w.now.Before(other.frozen) && !other.cut && !e.cut {
+	for _, other := range e.sim.entries {
+		if other != e && !other.dead && !e.sim.now.Before(other.suspendedUntil) && !other.partitioned && !e.partitioned {
 			list = append(list, other.self)
 		}
 	}
-	e.ledger.Peers(e.w.now, list)
-	e.ledger.Tick(e.w.now)
+	e.ledger.Peers(e.sim.now, list)
+	e.ledger.Tick(e.sim.now)
 }
 
-// answered hands the answer about a durable job to its caller.
-func (e *entryProcess) answered(a ledger.Answer) {
-	if take := e.asks[a.Request]; take != nil {
-		delete(e.asks, a.Request)
-		take(a.Kind)
+// answerDurable passes the answer about a durable job to its caller.
+func (e *entryProcess) answerDurable(a ledger.Answer) {
+	if answer := e.durableWaiters[a.Request]; answer != nil {
+		delete(e.durableWaiters, a.Request)
+		answer(a.Kind)
 	}
 }
 
-// stored notes that a durable job has ended.
-func (w *world) stored(s ledger.Stored) {
-	j := w.jobs[s.Job]
+// recordDurableEnd records the end of a durable job when it is stored.
+func (sim *simulation) recordDurableEnd(s ledger.Stored) {
+	j := sim.jobs[s.Job]
 	if j == nil || !s.Row.State.Ended() {
 		return
 	}
 	if s.Row.State == batch.JobDone {
-		w.ended(j, fateServed)
+		sim.recordEnd(j, outcomeServed)
 		return
 	}
-	w.ended(j, fateFailed)
+	sim.recordEnd(j, outcomeFailed)
 }
--- a/lab/emulator/summary.go
+++ b/lab/emulator/summary.go
@@ -6,77 +6,76 @@
 	"time"
 )
 
-// lateBound times its objective is until when an answer is of use.
-const lateBound = 3
+// lateFactor times its objective is the time after which the answer to a job is useless.
+const lateFactor = 3
 
-// window is the length of the windows of which the worst count.
-const window = 2 * time.Second
+// windowLength is the length of the windows, the worst of which count towards the score.
+const windowLength = 2 * time.Second
 
-// Count is what became of a number of jobs.
+// Count counts jobs by their outcome.
 type Count struct {
 	Jobs int `json:"jobs"`
-	// InTime ended within their objective, Late within three times of it.
+	// InTime ended within their objective, Late within lateFactor times the objective.
 	InTime  int `json:"inTime"`
 	Late    int `json:"late"`
 	Refused int `json:"refused"`
-	// Failed are those that got no answer of use.
+	// Failed are all others: failed, unanswered, or ended too late to be useful.
 	Failed int `json:"failed"`
-	// Credit is the part of the worth owed that was earned.
+	// Credit is the share of the jobs' total worth that was earned.
 	Credit       float64 `json:"credit"`
 	earned, owed float64
 }
 
-// Summary is what a play gave.
+// Summary is the outcome of a trial.
 type Summary struct {
 	Seed uint64 `json:"seed"`
 	Count
-	// Worth is the mark by the deployment's goal, Bound the credit that perfect
-	// knowledge could earn at most.
-	Worth float64 `json:"worth"`
+	// Score is the score by the deployment's goal, Bound an upper bound of the credit that holds
+	// even for a policy with perfect knowledge.
+	Score float64 `json:"worth"`
 	Bound float64 `json:"bound"`
-	// Nines, Worst and WorstKind are parts of the mark.
-	Nines     float64 `json:"nines"`
-	Worst     float64 `json:"worstWindows"`
-	WorstKind float64 `json:"worstKind"`
-	// Held is the part of the worth owed whose callers were held up for nothing; it is
-	// taken off the mark.
-	Held float64 `json:"held"`
-	// Wasted is the share of the work that was done in vain.
-	Wasted  float64    `json:"wasted"`
-	Kinds   []Named    `json:"kinds"`
-	Centres []Named    `json:"dataCentres"`
-	Windows []Windowed `json:"windows"`
-	Broken  []string   `json:"broken,omitempty"`
+	// Nines, WorstWindows and WorstKind are components of the score.
+	Nines        float64 `json:"nines"`
+	WorstWindows float64 `json:"worstWindows"`
+	WorstKind    float64 `json:"worstKind"`
+	// VainWait is the share of the total worth whose callers waited in vain (see waitedInVain); it
+	// is subtracted from the score.
+	VainWait float64 `json:"held"`
+	// Wasted is the share of all work that was done by runs that did not end as done.
+	Wasted      float64       `json:"wasted"`
+	Kinds       []NamedCount  `json:"kinds"`
+	DataCentres []NamedCount  `json:"dataCentres"`
+	Windows     []WindowCount `json:"windows"`
+	Violations  []string      `json:"broken,omitempty"`
 }
 
-// Named is the count of a kind or a data centre.
-type Named struct {
+// NamedCount is the count of a kind or a data centre.
+type NamedCount struct {
 	Name string `json:"name"`
 	Count
 }
 
-// Windowed is the count of the jobs sent in a window.
-type Windowed struct {
-	// From is in seconds from the first job.
-	From float64 `json:"from"`
-	// Busy is the share of the sound workers' room that runs took.
-	Busy float64 `json:"busy"`
+// WindowCount is the count of the jobs submitted within a window.
+type WindowCount struct {
+	// StartSeconds is the time from the start of the load.
+	StartSeconds float64 `json:"from"`
+	// Utilization is the share of the healthy workers' CPU that runs used.
+	Utilization float64 `json:"busy"`
 	Count
 }
 
-// add counts a job.
-func (c *Count) add(r *record) {
+func (c *Count) add(r *jobRecord) {
 	c.Jobs++
 	c.owed += r.worth
 	took := r.ended - r.sent
 	switch {
-	case r.fate == fateServed && took <= r.objective:
+	case r.outcome == outcomeServed && took <= r.objective:
 		c.InTime++
 		c.earned += r.worth
-	case r.fate == fateServed && took <= lateBound*r.objective:
+	case r.outcome == outcomeServed && took <= lateFactor*r.objective:
 		c.Late++
-		c.earned += r.late
-	case r.fate == fateRefused:
+		c.earned += r.lateWorth
+	case r.outcome == outcomeRefused:
 		c.Refused++
 	default:
 		c.Failed++
@@ -86,91 +85,91 @@
 	}
 }
 
-// unserved returns the share of jobs that got nothing of use.
+// unserved returns the share of jobs without a useful answer.
 func (c *Count) unserved() float64 {
 	return float64(c.Refused+c.Failed) / math.Max(float64(c.Jobs), 1)
 }
 
-// Summarize counts what became of the jobs of a play.
-func (r *Result) Summarize() Summary {
-	s := Summary{Seed: r.Seed, Bound: r.boundOf(), Broken: r.Broken}
+// Summarize counts the jobs of a trial by outcome and computes its score.
+func (r *TrialResult) Summarize() Summary {
+	s := Summary{Seed: r.Seed, Bound: r.creditBound(), Violations: r.Violations}
 	for _, k := range r.deployment.Kinds {
-		s.Kinds = append(s.Kinds, Named{Name: k.Name})
+		s.Kinds = append(s.Kinds, NamedCount{Name: k.Name})
 	}
 	for _, c := range r.deployment.DataCentres {
-		s.Centres = append(s.Centres, Named{Name: c.Name})
+		s.DataCentres = append(s.DataCentres, NamedCount{Name: c.Name})
 	}
-	for from := time.Duration(0); from < r.scenario.Duration.Std(); from += window {
-		s.Windows = append(s.Windows, Windowed{From: from.Seconds()})
+	for from := time.Duration(0); from < r.scenario.Duration.Std(); from += windowLength {
+		s.Windows = append(s.Windows, WindowCount{StartSeconds: from.Seconds()})
 	}
-	held := 0.0
-	for _, j := range r.tally.records {
+	vainWait := 0.0
+	for _, j := range r.stats.records {
 		s.add(j)
-		if j.held() {
-			held += j.worth
+		if j.waitedInVain() {
+			vainWait += j.worth
 		}
 		s.Kinds[j.kind].add(j)
-		s.Centres[j.centre].add(j)
-		s.Windows[min(int((j.sent-warmUp)/window), len(s.Windows)-1)].add(j)
+		s.DataCentres[j.dataCentre].add(j)
+		s.Windows[min(int((j.sent-warmUp)/windowLength), len(s.Windows)-1)].add(j)
 	}
 	for i := range s.Windows {
-		s.Windows[i].Busy = r.busy(warmUp + time.Duration(i)*window)
+		s.Windows[i].Utilization = r.utilization(warmUp + time.Duration(i)*windowLength)
 	}
 	if s.owed > 0 {
-		s.Held = held / s.owed
+		s.VainWait = vainWait / s.owed
 	}
-	if work := r.tally.done + r.tally.wasted; work > 0 {
-		s.Wasted = r.tally.wasted / work
+	if work := r.stats.doneWork + r.stats.wastedWork; work > 0 {
+		s.Wasted = r.stats.wastedWork / work
 	}
-	s.mark(r.deployment.Goal)
+	s.computeScore(r.deployment.Goal)
 	return s
 }
 
-// busy returns the share of the sound room that was used in a window.
-func (r *Result) busy(from time.Duration) float64 {
-	first, last := int(from/slot), min(int((from+window)/slot), len(r.sound))
-	sound, used := 0.0, 0.0
+// utilization returns the share of the healthy workers' CPU that runs used within a window.
+func (r *TrialResult) utilization(from time.Duration) float64 {
+	first, last := int(from/slotLength), min(int((from+windowLength)/slotLength), len(r.healthyCores))
+	healthy, used := 0.0, 0.0
 	for i := first; i < last; i++ {
-		sound, used = sound+r.sound[i], used+r.used[i]
+		healthy, used = healthy+r.healthyCores[i], used+r.usedCores[i]
 	}
-	if sound == 0 {
+	if healthy == 0 {
 		return 0
 	}
-	return used / sound
+	return used / healthy
 }
 
-// mark weighs the parts by a goal.
-func (s *Summary) mark(g Goal) {
-	s.Nines = nines(s.unserved(), g.NinesBest)
-	s.Worst = worstWindows(s.Windows)
-	s.WorstKind = worst(s.Kinds)
-	s.Worth = g.Whole*s.Credit + g.Nines*s.Nines + g.Windows*s.Worst + g.Kind*s.WorstKind +
-		g.DataCentre*worst(s.Centres) - g.Waste*s.Wasted - s.Held
+// computeScore sets the score and its components, weighted by a goal.
+func (s *Summary) computeScore(g Goal) {
+	s.Nines = nineScore(s.unserved(), g.BestUnservedShare)
+	s.WorstWindows = worstWindowCredit(s.Windows)
+	s.WorstKind = worstCredit(s.Kinds)
+	s.Score = g.Credit*s.Credit + g.Nines*s.Nines + g.Windows*s.WorstWindows + g.Kind*s.WorstKind +
+		g.DataCentre*worstCredit(s.DataCentres) - g.Waste*s.Wasted - s.VainWait
 }
 
-// nines puts the share not served on a logarithmic scale: 0 if nothing is served,
-// 1 at the share that counts as perfect.
-func nines(unserved, best float64) float64 {
+// nineScore maps the share of unserved jobs to a logarithmic scale: 0 if nothing is served, 1 at or
+// below the share that counts as perfect.
+func nineScore(unserved, best float64) float64 {
 	if best <= 0 {
 		return 0
 	}
 	return math.Min(math.Log(math.Max(unserved, best))/math.Log(best), 1)
 }
 
-func worst(list []Named) float64 {
-	least := 1.0
+func worstCredit(list []NamedCount) float64 {
+	lowest := 1.0
 	for i := range list {
 		if list[i].Jobs > 0 {
-			least = math.Min(least, list[i].Credit)
+			lowest = math.Min(lowest, list[i].Credit)
 		}
 	}
-	return least
+	return lowest
 }
 
-// countedWindows is how many of the worst windows count.
-const countedWindows = 2
+// worstWindowCount is the number of windows that worstWindowCredit averages.
+const worstWindowCount = 2
 
-func worstWindows(list []Windowed) float64 {
+func worstWindowCredit(list []WindowCount) float64 {
 	var credits []float64
 	for i := range list {
 		if list[i].Jobs > 0 {
@@ -178,7 +177,7 @@
 		}
 	}
 	sort.Float64s(credits)
-	n := min(countedWindows, len(credits))
+	n := min(worstWindowCount, len(credits))
 	if n == 0 {
 		return 1
 	}
--- a/lab/emulator/worker.go
+++ b/lab/emulator/worker.go
@@ -14,345 +14,355 @@
 type workerRun struct {
 	run  uint32
 	need room.Room
-	// work is what it takes at full pace, done what had been done at paceAt, and
-	// pace the share of full pace since.
-	work, done time.Duration
-	pace       float64
-	paceAt     time.Time
-	startedAt  time.Time
-	// stopping is when a stop takes effect; zero if none was asked for.
-	stopping time.Time
-	fails    bool
+	// work is the total work, doneBefore the work done until speedSince, both as durations at full
+	// speed. speed is the share of full speed since then.
+	work, doneBefore time.Duration
+	speed            float64
+	speedSince       time.Time
+	startedAt        time.Time
+	// stopsAt is when a requested stop takes effect; zero if none was requested.
+	stopsAt time.Time
+	fails   bool
 }
 
-// worked returns the work that is done.
-func (r *workerRun) worked(now time.Time) time.Duration {
-	return r.done + time.Duration(float64(now.Sub(r.paceAt))*r.pace)
+// workDone returns the work done until now.
+func (r *workerRun) workDone(now time.Time) time.Duration {
+	return r.doneBefore + time.Duration(float64(now.Sub(r.speedSince))*r.speed)
 }
 
-// setPace changes the pace from now on.
-func (r *workerRun) setPace(now time.Time, pace float64) {
-	r.done = r.worked(now)
-	r.pace, r.paceAt = pace, now
+// setSpeed changes the speed from now on.
+func (r *workerRun) setSpeed(now time.Time, speed float64) {
+	r.doneBefore = r.workDone(now)
+	r.speed, r.speedSince = speed, now
 }
 
-// service is the one service of a world.
-const service = "s"
+// serviceName is the only service of a simulation.
+const serviceName = "s"
 
-// worker simulates one machine's worker: leases, fencing, ends, its own clock.
+// worker simulates a worker: capacity, leases, fencing, held ends and a clock of its own.
 type worker struct {
-	w        *world
-	name     string
-	centre   string
-	rack     string
-	number   int // in the layout
-	id       string
-	life     int
-	capacity room.Room
-	// former are capacities that it had a moment ago.
-	former []formerCapacity
-	// said counts the announcements of the incarnation.
-	said int
-	// born is when its clock began, bornMillis the time of its start that it tells.
-	born       time.Time
-	bornMillis int64
-	rate       float64
+	sim         *simulation
+	name        string
+	dataCentre  string
+	rack        string
+	number      int // index in simulation.workers
+	id          string
+	incarnation int
+	capacity    room.Room
+	// previousCapacities are the capacities before the present one.
+	previousCapacities []previousCapacity
+	// announcements counts the announcements of the incarnation.
+	announcements int
+	// clockStart is the virtual time at which the worker's clock showed 0, startedAtMillis the
+	// start time in Unix ms that it announces.
+	clockStart      time.Time
+	startedAtMillis int64
+	clockRate       float64
+	// token is the highest fencing token received, leaseUntil the time of the worker's clock in ms at
+	// which its lease ends.
 	token      int64
-	until      int64
-	running    ordered.Map[string, *workerRun]
-	highest    map[string]uint32
-	ended      []runner.Ended
-	ends       int64
-	look       *pendingLook
-	draining   bool
-	failing    bool
-	hanging    bool
-	down       bool
-	// refuses is set if connections are refused while it is down; else it is silent then.
-	refuses bool
-	// cut workers reach nobody, and nobody reaches them.
-	cut bool
-	// slow is how many times longer runs take than they should; 0 stands for 1.
-	slow float64
+	leaseUntil int64
+	// running holds the present runs by task.
+	running ordered.Map[string, *workerRun]
+	// highestRun is the highest run number of each task that has ended or was stopped.
+	highestRun map[string]uint32
+	// heldEnds are the ends that are not acknowledged; endCount is the number of the last end.
+	heldEnds    []runner.Ended
+	endCount    int64
+	pendingPoll *pendingPoll
+	draining    bool
+	failing     bool
+	hanging     bool
+	down        bool
+	// refusesConnections is set if connections are refused while the worker is down; otherwise they
+	// get no answer.
+	refusesConnections bool
+	// partitioned is set while the worker is not reachable and cannot reach others.
+	partitioned bool
+	// slowdown is the factor on the duration of runs; 0 stands for 1.
+	slowdown float64
 }
 
-// pendingLook is a look that waits for an end.
-type pendingLook struct {
-	look   runner.Look
-	answer func(runner.Answer, runner.Listing)
-	at     time.Time
+// pendingPoll is a poll that waits for an end.
+type pendingPoll struct {
+	request  runner.Look
+	respond  func(runner.Answer, runner.Listing)
+	deadline time.Time
 }
 
-func newWorker(w *world, name, centre string, number int) *worker {
-	k := &worker{w: w, name: name, centre: centre, number: number, rack: fmt.Sprintf("r%d", number/w.layout.rackSize)}
-	k.reborn()
-	return k
+func newWorker(sim *simulation, name, dataCentre string, number int) *worker {
+	w := &worker{sim: sim, name: name, dataCentre: dataCentre, number: number, rack: fmt.Sprintf("r%d", number/sim.config.rackSize)}
+	w.restartWithNewID()
+	return w
 }
 
-// reborn starts a new incarnation under another ID.
-func (k *worker) reborn() {
-	k.id = fmt.Sprintf("%s-%d", k.name, k.life+1)
-	k.restart()
+// restartWithNewID starts a new incarnation under a new ID.
+func (w *worker) restartWithNewID() {
+	w.id = fmt.Sprintf("%s-%d", w.name, w.incarnation+1)
+	w.restart()
 }
 
 // restart starts a new incarnation under the same ID.
-func (k *worker) restart() {
-	k.crash() // unless it is down already
-	k.life++
-	k.bornMillis = max(k.w.now.UnixMilli(), k.bornMillis+1)
-	k.capacity, k.former, k.said = k.w.layout.capacity(k.number), nil, 0
-	k.born = k.w.now.Add(-time.Duration(k.w.rand.IntN(100000)) * time.Millisecond)
-	k.rate = 0.98 + 0.02*k.w.rand.Float64()
-	k.token, k.until, k.ends = 0, 0, 0
-	k.running, k.highest = ordered.Map[string, *workerRun]{}, make(map[string]uint32)
-	k.ended, k.look = nil, nil
-	k.refuses = (k.life+k.number)%2 == 0
-	k.down, k.draining, k.failing, k.hanging, k.slow = false, false, false, false, 0
+func (w *worker) restart() {
+	w.crash() // no effect if the worker is down
+	w.incarnation++
+	w.startedAtMillis = max(w.sim.now.UnixMilli(), w.startedAtMillis+1)
+	w.capacity, w.previousCapacities, w.announcements = w.sim.config.capacity(w.number), nil, 0
+	w.clockStart = w.sim.now.Add(-time.Duration(w.sim.rand.IntN(100000)) * time.Millisecond)
+	w.clockRate = 0.98 + 0.02*w.sim.rand.Float64()
+	w.token, w.leaseUntil, w.endCount = 0, 0, 0
+	w.running, w.highestRun = ordered.Map[string, *workerRun]{}, make(map[string]uint32)
+	w.heldEnds, w.pendingPoll = nil, nil
+	w.refusesConnections = (w.incarnation+w.number)%2 == 0
+	w.down, w.draining, w.failing, w.hanging, w.slowdown = false, false, false, false, 0
 }
 
-// formerCapacity is a capacity that a worker had until a time.
-type formerCapacity struct {
-	room  room.Room
-	until time.Time
+// previousCapacity is the capacity that a worker had until a time.
+type previousCapacity struct {
+	capacity room.Room
+	until    time.Time
 }
 
-// resize changes the capacity to a share of the one in the layout.
-func (k *worker) resize(share float64) {
-	k.former = append(k.former, formerCapacity{k.capacity, k.w.now})
-	k.capacity = k.w.layout.capacity(k.number)
-	k.capacity.CPU = int(share * float64(k.capacity.CPU))
+// resize sets the CPU capacity to a share of the configured one.
+func (w *worker) resize(share float64) {
+	w.previousCapacities = append(w.previousCapacities, previousCapacity{w.capacity, w.sim.now})
+	w.capacity = w.sim.config.capacity(w.number)
+	w.capacity.CPU = int(share * float64(w.capacity.CPU))
 }
 
-// mayUse is the largest capacity that the worker had within a time: its agent hears of a
-// change with the next announcement.
-func (k *worker) mayUse(within time.Duration) room.Room {
-	most := k.capacity
-	for _, f := range k.former {
-		if k.w.now.Sub(f.until) <= within && f.room.CPU > most.CPU {
-			most = f.room
+// maxRecentCapacity returns the largest capacity that the worker had within a time. Its agent
+// learns of a change with the next announcement only.
+func (w *worker) maxRecentCapacity(within time.Duration) room.Room {
+	largest := w.capacity
+	for _, previous := range w.previousCapacities {
+		if w.sim.now.Sub(previous.until) <= within && previous.capacity.CPU > largest.CPU {
+			largest = previous.capacity
 		}
 	}
-	return most
+	return largest
 }
 
-// pace returns the share of full pace at which runs get on.
-func (k *worker) pace() float64 {
+// speed returns the speed of runs as a share of full speed.
+func (w *worker) speed() float64 {
 	switch {
-	case k.hanging:
+	case w.hanging:
 		return 0
-	case k.slow > 0:
-		return 1 / k.slow
+	case w.slowdown > 0:
+		return 1 / w.slowdown
 	}
 	return 1
 }
 
-// setPace has hanging and slowness begin or end, also for what runs.
-func (k *worker) setPace(hanging bool, slow float64) {
-	k.hanging, k.slow = hanging, slow
-	for r := range k.running.Values() {
-		r.setPace(k.w.now, k.pace())
+// setSpeed sets hanging and slowdown, also for the present runs.
+func (w *worker) setSpeed(hanging bool, slowdown float64) {
+	w.hanging, w.slowdown = hanging, slowdown
+	for r := range w.running.Values() {
+		r.setSpeed(w.sim.now, w.speed())
 	}
 }
 
-// crash ends the incarnation; nothing of it is listed any more.
-func (k *worker) crash() {
-	if k.down {
+// crash ends the incarnation. Its runs and held ends are lost.
+func (w *worker) crash() {
+	if w.down {
 		return
 	}
-	k.down = true
-	for task, r := range k.running.All() {
-		k.w.checks.lostUnder[task]++
-		k.w.tally.ran(k, r, runs.Gone)
-		k.w.checks.ranUntil(task, k)
+	w.down = true
+	for task, r := range w.running.All() {
+		w.sim.checker.crashesDuring[task]++
+		w.sim.stats.addRun(w, r, runs.Gone)
+		w.sim.checker.runEnded(task, w)
 	}
 }
 
-func (k *worker) clock() int64 {
-	return int64(float64(k.w.now.Sub(k.born).Milliseconds()) * k.rate)
+func (w *worker) clock() int64 {
+	return int64(float64(w.sim.now.Sub(w.clockStart).Milliseconds()) * w.clockRate)
 }
 
-func (k *worker) info() runs.Worker {
+func (w *worker) info() runs.Worker {
 	return runs.Worker{
-		ID: k.id, Born: k.bornMillis, Agent: k.name, Service: service, DataCentre: k.centre, Capacity: k.capacity,
-		Labels: []string{k.rack}, Draining: k.draining,
+		ID: w.id, Born: w.startedAtMillis, Agent: w.name, Service: serviceName, DataCentre: w.dataCentre, Capacity: w.capacity,
+		Labels: []string{w.rack}, Draining: w.draining,
 	}
 }
 
-// step lets runs end by their work, stops and the lease.
-func (k *worker) step() {
-	if k.down {
+// advance ends the runs whose work is done, whose stop is due or whose lease has expired.
+func (w *worker) advance() {
+	if w.down {
 		return
 	}
-	if k.clock() > k.until {
-		k.w.checks.lapse(k)
+	if w.clock() > w.leaseUntil {
+		w.sim.checker.leaseExpired(w)
 	}
-	for task, r := range k.running.All() {
+	for task, r := range w.running.All() {
 		switch {
-		case !r.stopping.IsZero() && !k.w.now.Before(r.stopping):
-			k.end(task, r, runs.Stopped)
-		case k.clock() > k.until:
-			k.end(task, r, runs.Stopped)
-		case r.worked(k.w.now) >= r.work:
-			how := runs.Done
+		case !r.stopsAt.IsZero() && !w.sim.now.Before(r.stopsAt):
+			w.end(task, r, runs.Stopped)
+		case w.clock() > w.leaseUntil:
+			w.end(task, r, runs.Stopped)
+		case r.workDone(w.sim.now) >= r.work:
+			outcome := runs.Done
 			if r.fails {
-				how = runs.Failed
+				outcome = runs.Failed
 			}
-			k.end(task, r, how)
+			w.end(task, r, outcome)
 		}
 	}
-	k.answerLook()
+	w.answerPoll()
 }
 
-func (k *worker) end(task string, r *workerRun, how runs.How) {
-	k.running.Delete(task)
-	k.w.tally.ran(k, r, how)
-	k.highest[task] = max(k.highest[task], r.run)
-	k.ends++
-	k.ended = append(k.ended, runner.Ended{Number: k.ends, Key: runs.Key{Task: task, Run: r.run}, How: how})
-	k.w.tell("worker %s ends %s/%d %s", k.id, task, r.run, how)
-	if how == runs.Failed {
-		k.w.checks.failedRuns[task]++
+func (w *worker) end(task string, r *workerRun, outcome runs.How) {
+	w.running.Delete(task)
+	w.sim.stats.addRun(w, r, outcome)
+	w.highestRun[task] = max(w.highestRun[task], r.run)
+	w.endCount++
+	w.heldEnds = append(w.heldEnds, runner.Ended{Number: w.endCount, Key: runs.Key{Task: task, Run: r.run}, How: outcome})
+	w.sim.logEvent("worker %s ends %s/%d %s", w.id, task, r.run, outcome)
+	if outcome == runs.Failed {
+		w.sim.checker.failedRuns[task]++
 	}
-	if how == runs.Done {
-		k.w.checks.endedDone(k, runs.Key{Task: task, Run: r.run}, k.ends)
+	if outcome == runs.Done {
+		w.sim.checker.taskDone(w, runs.Key{Task: task, Run: r.run}, w.endCount)
 	}
-	k.w.checks.ranUntil(task, k)
+	w.sim.checker.runEnded(task, w)
 }
 
-// order carries an order out.
-func (k *worker) order(o runner.Order, need room.Room) runner.Answer {
-	if k.down && !k.cut && k.refuses {
+// order carries an order out and returns the worker's answer.
+func (w *worker) order(o runner.Order, need room.Room) runner.Answer {
+	if w.down && !w.partitioned && w.refusesConnections {
 		return runner.Answer{Verdict: runner.NotListening}
 	}
-	if k.down || k.cut {
+	if w.down || w.partitioned {
 		return runner.Answer{Verdict: runner.NoAnswer}
 	}
-	if o.Worker != k.id {
-		return runner.Answer{Verdict: runner.WrongIncarnation, Clock: k.clock()}
+	if o.Worker != w.id {
+		return runner.Answer{Verdict: runner.WrongIncarnation, Clock: w.clock()}
 	}
-	if o.Token < k.token {
-		return runner.Answer{Verdict: runner.RefusedFence, Clock: k.clock()}
+	if o.Token < w.token {
+		return runner.Answer{Verdict: runner.RefusedFence, Clock: w.clock()}
 	}
-	k.token = o.Token
+	w.token = o.Token
 	verdict := runner.Accepted
 	if o.Kind == runner.OrderStop {
-		k.stop(o.Key)
+		w.stop(o.Key)
 	} else {
-		verdict = k.start(o, need)
+		verdict = w.start(o, need)
 	}
-	return runner.Answer{Verdict: verdict, Clock: k.clock()}
+	return runner.Answer{Verdict: verdict, Clock: w.clock()}
 }
 
-func (k *worker) stop(key runs.Key) {
-	k.highest[key.Task] = max(k.highest[key.Task], key.Run)
-	if r := k.running.Get(key.Task); r != nil && r.run == key.Run && r.stopping.IsZero() {
-		r.stopping = k.w.now.Add(time.Duration(k.w.rand.IntN(50)) * time.Millisecond)
+// stop stops a run within 50 ms and prevents later starts of the run.
+func (w *worker) stop(key runs.Key) {
+	w.highestRun[key.Task] = max(w.highestRun[key.Task], key.Run)
+	if r := w.running.Get(key.Task); r != nil && r.run == key.Run && r.stopsAt.IsZero() {
+		r.stopsAt = w.sim.now.Add(time.Duration(w.sim.rand.IntN(50)) * time.Millisecond)
 	}
 }
 
-func (k *worker) start(o runner.Order, need room.Room) runner.Verdict {
-	if r := k.running.Get(o.Key.Task); r != nil && r.run == o.Key.Run {
+// start starts a run, unless it runs already, is outdated, or its deadline has passed.
+func (w *worker) start(o runner.Order, need room.Room) runner.Verdict {
+	if r := w.running.Get(o.Key.Task); r != nil && r.run == o.Key.Run {
 		return runner.Accepted
 	}
-	if o.Key.Run <= k.highest[o.Key.Task] {
+	if o.Key.Run <= w.highestRun[o.Key.Task] {
 		return runner.RefusedOld
 	}
-	if o.Deadline <= k.clock() {
+	if o.Deadline <= w.clock() {
 		return runner.RefusedLate
 	}
-	k.lend(o.Deadline)
-	work, fails := k.w.startOf(o.Key)
-	k.running.Put(o.Key.Task, &workerRun{
-		run: o.Key.Run, pace: k.pace(), paceAt: k.w.now, startedAt: k.w.now, work: work, need: need, fails: k.failing || fails,
+	w.extendLease(o.Deadline)
+	work, fails := w.sim.workOf(o.Key)
+	w.running.Put(o.Key.Task, &workerRun{
+		run: o.Key.Run, speed: w.speed(), speedSince: w.sim.now, startedAt: w.sim.now, work: work, need: need, fails: w.failing || fails,
 	})
-	k.w.tell("worker %s starts %s/%d", k.id, o.Key.Task, o.Key.Run)
-	k.w.checks.startedOn(o.Key, k)
-	if after, crashes := k.w.crashOf(o.Key); crashes {
-		k.crashAfter(after, o.Key)
+	w.sim.logEvent("worker %s starts %s/%d", w.id, o.Key.Task, o.Key.Run)
+	w.sim.checker.runStarted(o.Key, w)
+	if delay, crashes := w.sim.crashDelay(o.Key); crashes {
+		w.crashAfter(delay, o.Key)
 	}
 	return runner.Accepted
 }
 
-// crashAfter has a run crash the worker if it is still there then. It is back after some
-// seconds, under its ID or another one.
-func (k *worker) crashAfter(d time.Duration, key runs.Key) {
-	life := k.life
-	k.w.after(d, func() {
-		r := k.running.Get(key.Task)
-		if k.life != life || k.down || r == nil || r.run != key.Run {
+// crashAfter crashes the worker after a delay if the run is still there. The worker restarts after
+// one to two seconds, under the same or a new ID.
+func (w *worker) crashAfter(delay time.Duration, key runs.Key) {
+	incarnation := w.incarnation
+	w.sim.schedule(delay, func() {
+		r := w.running.Get(key.Task)
+		if w.incarnation != incarnation || w.down || r == nil || r.run != key.Run {
 			return
 		}
-		k.w.checks.crashedBy(key, k)
-		k.crash()
-		k.comeBack(time.Second + time.Duration(k.w.rand.IntN(1000))*time.Millisecond)
+		w.sim.checker.workerCrashed(key, w)
+		w.crash()
+		w.restartAfter(time.Second + time.Duration(w.sim.rand.IntN(1000))*time.Millisecond)
 	})
 }
 
-// comeBack has a worker that is down start again after a time.
-func (k *worker) comeBack(d time.Duration) {
-	start := k.restart
-	if k.w.rand.IntN(2) == 0 {
-		start = k.reborn
+// restartAfter restarts a crashed worker after a delay, under the same or a new ID.
+func (w *worker) restartAfter(delay time.Duration) {
+	start := w.restart
+	if w.sim.rand.IntN(2) == 0 {
+		start = w.restartWithNewID
 	}
-	life := k.life
-	k.w.after(d, func() {
-		if k.life == life {
+	incarnation := w.incarnation
+	w.sim.schedule(delay, func() {
+		if w.incarnation == incarnation {
 			start()
-			k.w.agents[k.number].announceOnce()
+			w.sim.agents[w.number].announceOnce()
 		}
 	})
 }
 
-// lend takes a lease, or the longest one that is granted.
-func (k *worker) lend(deadline int64) {
-	k.until = max(k.until, min(deadline, k.clock()+k.w.layout.longestLease.Milliseconds()))
+// extendLease extends the lease to a deadline, limited to the longest lease that a worker grants.
+func (w *worker) extendLease(deadline int64) {
+	w.leaseUntil = max(w.leaseUntil, min(deadline, w.clock()+w.sim.config.longestLease.Milliseconds()))
 }
 
-// hold receives a look; the answer may come later.
-func (k *worker) hold(l runner.Look, answer func(runner.Answer, runner.Listing)) {
-	if k.down || k.cut {
+// poll handles a poll of the agent. respond is called at once or when a run ends, at the latest
+// after the poll's wait time.
+func (w *worker) poll(request runner.Look, respond func(runner.Answer, runner.Listing)) {
+	if w.down || w.partitioned {
 		return
 	}
-	if l.Worker != k.id {
-		answer(runner.Answer{Verdict: runner.WrongIncarnation, Clock: k.clock()}, runner.Listing{})
+	if request.Worker != w.id {
+		respond(runner.Answer{Verdict: runner.WrongIncarnation, Clock: w.clock()}, runner.Listing{})
 		return
 	}
-	if l.Token < k.token {
-		answer(runner.Answer{Verdict: runner.RefusedFence, Clock: k.clock()}, runner.Listing{})
+	if request.Token < w.token {
+		respond(runner.Answer{Verdict: runner.RefusedFence, Clock: w.clock()}, runner.Listing{})
 		return
 	}
-	k.token = l.Token
-	if k.running.Len() > 0 {
-		k.lend(l.Deadline)
+	w.token = request.Token
+	if w.running.Len() > 0 {
+		w.extendLease(request.Deadline)
 	}
-	k.w.checks.noteEnds(k, l.LastSeen)
-	kept := k.ended[:0:0]
-	for _, e := range k.ended {
-		if e.Number > l.LastSeen {
-			kept = append(kept, e)
+	w.sim.checker.acknowledgeEnds(w, request.LastSeen)
+	unacknowledged := w.heldEnds[:0:0]
+	for _, e := range w.heldEnds {
+		if e.Number > request.LastSeen {
+			unacknowledged = append(unacknowledged, e)
 		}
 	}
-	k.ended = kept
-	k.look = &pendingLook{look: l, answer: answer, at: k.w.now.Add(l.Wait)}
-	k.answerLook()
+	w.heldEnds = unacknowledged
+	w.pendingPoll = &pendingPoll{request: request, respond: respond, deadline: w.sim.now.Add(request.Wait)}
+	w.answerPoll()
 }
 
-// listedAtOnce is how many ends a worker lists; the others follow when these may be
-// forgotten.
-const listedAtOnce = 50
+// maxListedEnds is the number of ends that a worker lists at a time. It lists further ones when
+// these are acknowledged.
+const maxListedEnds = 50
 
-func (k *worker) answerLook() {
-	p := k.look
-	if p == nil || len(k.ended) == 0 && k.w.now.Before(p.at) {
+func (w *worker) answerPoll() {
+	p := w.pendingPoll
+	if p == nil || len(w.heldEnds) == 0 && w.sim.now.Before(p.deadline) {
 		return
 	}
-	k.look = nil
+	w.pendingPoll = nil
 	var listing runner.Listing
-	for task, r := range k.running.All() {
-		percent := int(100 * r.worked(k.w.now) / max(r.work, 1))
+	for task, r := range w.running.All() {
+		percent := int(100 * r.workDone(w.sim.now) / max(r.work, 1))
 		listing.Running = append(listing.Running, runner.Running{Key: runs.Key{Task: task, Run: r.run}, Percent: min(percent, 99)})
 	}
-	listing.Cut = len(k.ended) >= listedAtOnce
-	listing.Ended = append(listing.Ended, k.ended[:min(len(k.ended), listedAtOnce)]...)
-	p.answer(runner.Answer{Verdict: runner.Accepted, Clock: k.clock(), Born: k.bornMillis}, listing)
+	listing.Cut = len(w.heldEnds) >= maxListedEnds
+	listing.Ended = append(listing.Ended, w.heldEnds[:min(len(w.heldEnds), maxListedEnds)]...)
+	p.respond(runner.Answer{Verdict: runner.Accepted, Clock: w.clock(), Born: w.startedAtMillis}, listing)
 }
