--- a/core/agentcore/bench_test.go
+++ b/core/agentcore/bench_test.go
@@ -8,8 +8,8 @@
 	"peridotpick.example/wire"
 )
 
-// BenchmarkTombstoneMemory is the memory of one acknowledged submission that an
-// agent still remembers, and of one whose result of 200 bytes it keeps.
+// BenchmarkTombstoneMemory measures the memory of a submission with a retained result of 200 bytes,
+// and of a tombstone.
 func BenchmarkTombstoneMemory(b *testing.B) {
 	const submissions = 20000
 	for b.Loop() {
@@ -19,7 +19,7 @@
 		before := heapBytes()
 		for i := range submissions {
 			id := fmt.Sprintf("c/team/key-%d", i)
-			c.Receive(start, 1, batch(id, 1, 0, 0))
+			c.Receive(start, 1, startBatch(id, 1, 0, 0))
 			c.Finished(start, ExecID{id, 0, 1}, Completion{Payload: make([]byte, 200)})
 		}
 		b.ReportMetric(float64(heapBytes()-before)/submissions, "B/kept-result")
--- a/core/agentcore/core_test.go
+++ b/core/agentcore/core_test.go
@@ -28,7 +28,7 @@
 	entryB = wire.EntryInfo{ID: "B", Incarnation: 2}
 )
 
-func batch(sub string, epoch uint64, class uint8, indexes ...uint32) *wire.ToAgent {
+func startBatch(sub string, epoch uint64, class uint8, indexes ...uint32) *wire.ToAgent {
 	b := &wire.StartBatch{Submission: sub, Epoch: epoch, Class: class, Remaining: time.Minute}
 	for _, i := range indexes {
 		b.Tasks = append(b.Tasks, wire.TaskStart{Index: i, Attempt: 1, Sum: wire.Sum(nil)})
@@ -36,7 +36,7 @@
 	return &wire.ToAgent{Starts: []*wire.StartBatch{b}}
 }
 
-func results(out Output) []*wire.Result {
+func resultsOf(out Output) []*wire.Result {
 	var list []*wire.Result
 	for _, s := range out.Sends {
 		list = append(list, s.Msg.Results...)
@@ -44,12 +44,12 @@
 	return list
 }
 
-func TestDuplicateIsIgnored(t *testing.T) {
+func TestDuplicateStartIsIgnored(t *testing.T) {
 	is := is.New(t)
 	c := newCore(2, 2)
 	c.LinkUp(start, 1, entryA)
-	is.Equal(len(c.Receive(start, 1, batch("s", 1, 0, 0)).Executes), 1)
-	is.Equal(len(c.Receive(start, 1, batch("s", 1, 0, 0)).Executes), 0)
+	is.Equal(len(c.Receive(start, 1, startBatch("s", 1, 0, 0)).Executes), 1)
+	is.Equal(len(c.Receive(start, 1, startBatch("s", 1, 0, 0)).Executes), 0)
 }
 
 func TestFenceWithdrawsQueuedAndReportsStarted(t *testing.T) {
@@ -57,7 +57,7 @@
 	c := newCore(1, 2)
 	c.LinkUp(start, 1, entryA)
 	c.LinkUp(start, 2, entryB)
-	c.Receive(start, 1, batch("s", 1, 0, 0, 1))
+	c.Receive(start, 1, startBatch("s", 1, 0, 0, 1))
 	out := c.Receive(start, 2, &wire.ToAgent{Fences: []wire.Fence{{Submission: "s", Epoch: 2}}})
 	var reply wire.FenceReply
 	for _, s := range out.Sends {
@@ -67,7 +67,7 @@
 	}
 	is.Equal(len(reply.Tasks), 1)
 	is.Equal(reply.Tasks[0].Phase, wire.Running)
-	refused := results(c.Receive(start, 1, batch("s", 1, 0, 2)))
+	refused := resultsOf(c.Receive(start, 1, startBatch("s", 1, 0, 2)))
 	is.Equal(refused[0].Kind, errkind.Fenced)
 	is.True(refused[0].NotRun)
 	// The result goes to the new owner.
@@ -80,21 +80,21 @@
 	c := newCore(2, 2)
 	c.LinkUp(start, 1, entryA)
 	c.LinkUp(start, 2, entryA)
-	is.Equal(len(c.Receive(start, 1, batch("s", 1, 0, 0)).Executes), 0)
+	is.Equal(len(c.Receive(start, 1, startBatch("s", 1, 0, 0)).Executes), 0)
 }
 
-func TestTombstoneRefusesUntilForgotten(t *testing.T) {
+func TestTombstoneFencesUntilItExpires(t *testing.T) {
 	is := is.New(t)
 	c := newCore(2, 2)
 	c.LinkUp(start, 1, entryA)
-	c.Receive(start, 1, batch("s", 1, 0, 0))
+	c.Receive(start, 1, startBatch("s", 1, 0, 0))
 	c.Finished(start, ExecID{"s", 0, 1}, Completion{Payload: []byte("result")})
 	c.Receive(start, 1, &wire.ToAgent{Acks: []wire.Ack{{Submission: "s", Epoch: 1}}})
-	_, kept := c.Held()
-	is.Equal(kept, 0)
-	is.Equal(results(c.Receive(start, 1, batch("s", 1, 0, 0)))[0].Kind, errkind.Fenced)
-	// A voided submission may come again under the next epoch.
-	is.Equal(len(c.Receive(start, 1, batch("s", 2, 0, 0)).Executes), 1)
+	_, retained := c.Held()
+	is.Equal(retained, 0)
+	is.Equal(resultsOf(c.Receive(start, 1, startBatch("s", 1, 0, 0)))[0].Kind, errkind.Fenced)
+	// A voided submission may be claimed and sent again with the next epoch.
+	is.Equal(len(c.Receive(start, 1, startBatch("s", 2, 0, 0)).Executes), 1)
 	c.Finished(start, ExecID{"s", 0, 1}, Completion{})
 	c.Receive(start, 1, &wire.ToAgent{Acks: []wire.Ack{{Submission: "s", Epoch: 2}}})
 	c.Tick(start.Add(2 * time.Minute))
@@ -102,53 +102,54 @@
 	is.Equal(held, 0)
 }
 
-func TestForgottenResultMakesFencesPartial(t *testing.T) {
+func TestDroppedResultMakesFenceRepliesPartial(t *testing.T) {
 	is := is.New(t)
 	c := newCore(2, 2)
 	c.LinkUp(start, 1, entryA)
-	c.Receive(start, 1, batch("s", 1, 0, 0))
+	c.Receive(start, 1, startBatch("s", 1, 0, 0))
 	c.Finished(start, ExecID{"s", 0, 1}, Completion{})
 	c.Tick(start.Add(2 * time.Hour))
 	out := c.Receive(start, 1, &wire.ToAgent{Fences: []wire.Fence{{Submission: "s", Epoch: 2}}})
 	is.True(out.Sends[0].Msg.Fences[0].Partial)
 }
 
-func TestUrgentWorkEvictsBatchWork(t *testing.T) {
+func TestUrgentTaskEvictsQueuedBatchTask(t *testing.T) {
 	is := is.New(t)
 	c := newCore(1, 1)
 	c.LinkUp(start, 1, entryA)
-	c.Receive(start, 1, batch("b", 1, 2, 0, 1)) // one runs, one waits
-	refused := results(c.Receive(start, 1, batch("u", 1, 0, 0)))
+	c.Receive(start, 1, startBatch("b", 1, 2, 0, 1)) // one is running, one is queued
+	refused := resultsOf(c.Receive(start, 1, startBatch("u", 1, 0, 0)))
 	is.Equal(len(refused), 1)
 	is.Equal(refused[0].Submission, "b")
 	is.Equal(c.Finished(start, ExecID{"b", 0, 1}, Completion{}).Executes[0].ID.Submission, "u")
 }
 
-func TestFullMemoryRefusesNewWork(t *testing.T) {
+func TestNewWorkIsRefusedBeyondResultBytes(t *testing.T) {
 	is := is.New(t)
 	c := newCore(2, 2)
 	c.LinkUp(start, 1, entryA)
-	c.Receive(start, 1, batch("s", 1, 0, 0))
+	c.Receive(start, 1, startBatch("s", 1, 0, 0))
 	c.Finished(start, ExecID{"s", 0, 1}, Completion{Payload: make([]byte, 2000)})
-	refused := results(c.Receive(start, 1, batch("t", 1, 0, 0)))
+	refused := resultsOf(c.Receive(start, 1, startBatch("t", 1, 0, 0)))
 	is.Equal(refused[0].Kind, errkind.Overloaded)
 	is.True(refused[0].NotRun)
 }
 
-func TestDrainAndRest(t *testing.T) {
+func TestDrainAndRestRefuseNewWork(t *testing.T) {
 	is := is.New(t)
 	c := newCore(1, 1)
 	c.LinkUp(start, 1, entryA)
 	out := c.Receive(start, 1, &wire.ToAgent{RestFor: time.Second})
 	is.True(out.Sends[0].Msg.Leaving)
-	is.Equal(results(c.Receive(start, 1, batch("s", 1, 0, 0)))[0].Kind, errkind.Draining)
+	is.Equal(resultsOf(c.Receive(start, 1, startBatch("s", 1, 0, 0)))[0].Kind, errkind.Draining)
 	out = c.Tick(start.Add(2 * time.Second))
-	is.True(!out.Sends[0].Msg.Leaving) // a rest ends by itself
+	is.True(!out.Sends[0].Msg.Leaving) // a rest ends without a further message
 	is.True(c.Drain(start).Sends[0].Msg.Leaving)
 }
 
-// first returns the first execution in a fixed order.
-func first(running map[ExecID]bool) (ExecID, bool) {
+// firstRunning returns the ID that sorts first as text, so that the choice does not depend on the
+// order of the map.
+func firstRunning(running map[ExecID]bool) (ExecID, bool) {
 	var least ExecID
 	found := false
 	for id := range running {
@@ -159,24 +160,25 @@
 	return least, found
 }
 
-// TestWithdrawnRetryLeavesTheEndedAttempt: found by rapid. A retry that is
-// withdrawn must not make the attempt before it forgotten.
-func TestWithdrawnRetryLeavesTheEndedAttempt(t *testing.T) {
+// TestWithdrawnRetryRestoresTheEndedAttempt guards against a second run of an ended attempt: the
+// withdrawal of a queued retry must not remove the record of the attempt before it, or a duplicate
+// of that attempt is accepted.
+func TestWithdrawnRetryRestoresTheEndedAttempt(t *testing.T) {
 	is := is.New(t)
 	c := newCore(1, 2)
 	c.LinkUp(start, 1, entryA)
-	c.Receive(start, 1, batch("s", 1, 0, 0))
+	c.Receive(start, 1, startBatch("s", 1, 0, 0))
 	c.Finished(start, ExecID{"s", 0, 1}, Completion{Kind: errkind.TaskFailed})
-	c.Receive(start, 1, batch("t", 1, 0, 0)) // takes the slot
-	retry := batch("s", 1, 0, 0)
+	c.Receive(start, 1, startBatch("t", 1, 0, 0)) // takes the slot
+	retry := startBatch("s", 1, 0, 0)
 	retry.Starts[0].Tasks[0].Attempt = 2
 	c.Receive(start, 1, retry)
 	c.Receive(start, 1, &wire.ToAgent{Cancels: []wire.Cancel{{Submission: "s", Epoch: 1}}})
 	c.Finished(start, ExecID{"t", 0, 1}, Completion{})
-	is.Equal(len(c.Receive(start, 1, batch("s", 1, 0, 0)).Executes), 0) // attempt 1 is known to have run
+	is.Equal(len(c.Receive(start, 1, startBatch("s", 1, 0, 0)).Executes), 0) // attempt 1 is a duplicate
 }
 
-// TestMain fixes the seed of rapid, so that a run is the same each time.
+// TestMain fixes the seed of rapid, so that every run draws the same messages.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -185,9 +187,9 @@
 	os.Exit(m.Run())
 }
 
-// TestNeverBeyondSlotsNorTwice drives the core with random messages and checks
-// what must always hold.
-func TestNeverBeyondSlotsNorTwice(t *testing.T) {
+// TestNeverExceedsSlotsNorRunsATaskTwice sends random messages to the core and checks that no
+// attempt is executed twice, no task runs twice at once, and no more tasks run than there are slots.
+func TestNeverExceedsSlotsNorRunsATaskTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCore(2, 2)
 		now := start
@@ -200,13 +202,13 @@
 				}
 				for other := range running {
 					if other.Submission == e.ID.Submission && other.Index == e.ID.Index {
-						t.Fatalf("%v runs while %v does", e.ID, other)
+						t.Fatalf("%v started while %v was running", e.ID, other)
 					}
 				}
 				ever[e.ID], running[e.ID] = true, true
 			}
 			if len(running) > 2 {
-				t.Fatalf("%d executions on 2 slots", len(running))
+				t.Fatalf("%d executions are running on 2 slots", len(running))
 			}
 		}
 		handle(c.LinkUp(now, 1, entryA))
@@ -218,13 +220,13 @@
 			epoch := uint64(rapid.IntRange(1, 3).Draw(t, "epoch"))
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0, 1:
-				msg := batch(sub, epoch, 0, uint32(rapid.IntRange(0, 2).Draw(t, "task")))
+				msg := startBatch(sub, epoch, 0, uint32(rapid.IntRange(0, 2).Draw(t, "task")))
 				msg.Starts[0].Tasks[0].Attempt = uint32(rapid.IntRange(1, 3).Draw(t, "attempt"))
 				handle(c.Receive(now, link, msg))
 			case 2:
 				handle(c.Receive(now, link, &wire.ToAgent{Fences: []wire.Fence{{Submission: sub, Epoch: epoch}}}))
 			case 3:
-				if id, ok := first(running); ok {
+				if id, ok := firstRunning(running); ok {
 					delete(running, id)
 					handle(c.Finished(now, id, Completion{}))
 				}
--- a/core/agentcore/queue.go
+++ b/core/agentcore/queue.go
@@ -8,31 +8,31 @@
 	"peridotpick.example/wire"
 )
 
-// runQueue holds queued attempts ordered by class, deadline and arrival.
-type runQueue struct{ items attemptHeap }
+// attemptQueue is a priority queue of attempts in the order of runsBefore.
+type attemptQueue struct{ items attemptHeap }
 
-// Len returns the number of queued attempts.
-func (q *runQueue) Len() int { return len(q.items) }
+func (q *attemptQueue) Len() int { return len(q.items) }
 
-func (q *runQueue) push(a *attempt) { heap.Push(&q.items, a) }
+func (q *attemptQueue) push(a *attempt) { heap.Push(&q.items, a) }
 
-func (q *runQueue) pop() *attempt { return heap.Pop(&q.items).(*attempt) }
+func (q *attemptQueue) pop() *attempt { return heap.Pop(&q.items).(*attempt) }
 
-func (q *runQueue) remove(a *attempt) { heap.Remove(&q.items, a.heapPos) }
+func (q *attemptQueue) remove(a *attempt) { heap.Remove(&q.items, a.heapPos) }
 
-// worst returns the attempt that would run last, or nil.
-func (q *runQueue) worst() *attempt {
-	var worst *attempt
+// lastToRun returns the attempt that would run last, or nil if the queue is empty.
+func (q *attemptQueue) lastToRun() *attempt {
+	var last *attempt
 	for _, a := range q.items {
-		if worst == nil || before(worst, a) {
-			worst = a
+		if last == nil || runsBefore(last, a) {
+			last = a
 		}
 	}
-	return worst
+	return last
 }
 
-// before is the order of execution: class, then deadline, then arrival.
-func before(a, b *attempt) bool {
+// runsBefore reports whether a is started before b: by class (lower first), then deadline, then
+// arrival.
+func runsBefore(a, b *attempt) bool {
 	if a.class != b.class {
 		return a.class < b.class
 	}
@@ -42,10 +42,11 @@
 	return a.seq < b.seq
 }
 
+// attemptHeap implements heap.Interface and keeps attempt.heapPos up to date.
 type attemptHeap []*attempt
 
 func (h attemptHeap) Len() int           { return len(h) }
-func (h attemptHeap) Less(i, j int) bool { return before(h[i], h[j]) }
+func (h attemptHeap) Less(i, j int) bool { return runsBefore(h[i], h[j]) }
 func (h attemptHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapPos = i
@@ -65,10 +66,12 @@
 	return last
 }
 
+// sortAttempts sorts by task index.
 func sortAttempts(list []*attempt) {
 	slices.SortFunc(list, func(a, b *attempt) int { return cmp.Compare(a.index, b.index) })
 }
 
-func sortStates(list []wire.TaskState) {
+// sortTaskStates sorts by task index.
+func sortTaskStates(list []wire.TaskState) {
 	slices.SortFunc(list, func(a, b wire.TaskState) int { return cmp.Compare(a.Index, b.Index) })
 }
