--- a/core/rank/agent.go
+++ b/core/rank/agent.go
@@ -7,38 +7,42 @@
 	"peridotpick.example/common/label"
 )
 
-// ID names one incarnation of an agent.
+// ID identifies one incarnation of an agent.
 type ID struct {
 	Agent       string
 	Incarnation uint64
 }
 
-// Tuning of what is learned about an agent.
+// Parameters of the statistics of an agent and of its ejection.
 const (
-	// slowWeight and failWeight are the weights of a new observation.
-	slowWeight = 0.1
-	failWeight = 0.1
-	// minSamples is the number of results before an agent is judged by its rates.
+	// slownessWeight and failRateWeight are the weights of a new observation in the exponentially
+	// weighted means.
+	slownessWeight = 0.1
+	failRateWeight = 0.1
+	// minSamples is the number of results of an agent from which failures count into its failure
+	// rate. SlowAfter needs four times as many results of a kind.
 	minSamples = 8
-	// ejectAfter is the number of failures in a row from which an agent is ejected.
-	ejectAfter = 3
-	// ejectSlowness is the slowness from which an agent is ejected, judged by at
-	// least slowSamples results.
-	ejectSlowness = 3.0
-	slowSamples   = 3
-	// suspectOverdue is the part of an agent's slots that may be taken by tasks
-	// which run far too long before it gets no more.
-	suspectOverdue = 0.25
+	// ejectFailures is the number of consecutive failures at which an agent is ejected.
+	ejectFailures = 3
+	// ejectSlowness is the slowness from which an agent is ejected, once there are
+	// ejectSlownessSamples results.
+	ejectSlowness        = 3.0
+	ejectSlownessSamples = 3
+	// maxOverdueShare is the share of an agent's slots taken by overdue tasks from which the agent
+	// gets no new tasks.
+	maxOverdueShare = 0.25
 	// ejectFailRate is the failure rate from which an agent is ejected.
 	ejectFailRate = 0.5
-	// ejectShare bounds the ejected part of the pool.
-	ejectShare = 0.34
-	// probeBase is the first pause before a probe; it doubles up to probeMax.
-	probeBase = 500 * time.Millisecond
-	probeMax  = 20 * time.Second
+	// maxEjectedShare is the highest share of the agents of a pool that may be ejected.
+	maxEjectedShare = 0.34
+	// minProbePause is the first pause before a probe. Each unsuccessful probe doubles it, up to
+	// maxProbePause.
+	minProbePause = 500 * time.Millisecond
+	maxProbePause = 20 * time.Second
 )
 
-// Agent is what an entry knows of one agent.
+// Agent is what an entry knows of one agent. An agent that fails often or is very slow is ejected:
+// it gets no tasks except single probes, until one of them succeeds in normal time.
 type Agent struct {
 	ID         ID
 	Service    string
@@ -47,109 +51,121 @@
 	Rack       string
 	Labels     label.Set
 	Slots      int
-	// Leaving agents get no new work.
+	// Leaving is set if the agent accepts no new tasks.
 	Leaving bool
-	// Home is set if this entry is the one that mainly uses the agent.
+	// Home is set if this entry is the home of the agent, the entry that mainly uses it.
 	Home bool
-	// Down agents have no link at present.
+	// Down is set while there is no link to the agent.
 	Down bool
 
-	// Reported is the number of tasks in the newest report.
+	// Reported is the number of tasks at the agent by its last load report.
 	Reported int
-	// others is the load that other entries caused, as of reportedAt.
-	others     float64
+	// othersLoad is the number of tasks of other entries at the agent, as of reportedAt.
+	othersLoad float64
 	reportedAt time.Time
-	// InFlight counts own tasks sent and not yet answered.
+	// InFlight is the number of tasks that this entry has sent and that are not answered yet.
 	InFlight int
 
-	// slow is the learned ratio of run times here to the kind's mean elsewhere.
-	slow     float64
+	// slowness is the mean ratio of run times here to the mean of the kind; zero before the first
+	// result.
+	slowness float64
+	// failRate is the failure rate, between 0 and 1.
 	failRate float64
-	samples  int
-	meanRun  time.Duration
-
-	// failedRow counts failures since the last success; overdue own tasks that
-	// run far longer than their kind does.
-	failedRow int
-	overdue   int
-
-	ejected    bool
+	// samples is the number of results since the agent was added or restored.
+	samples int
+	// meanRun is the mean run time of tasks here.
+	meanRun time.Duration
+
+	// consecutiveFailures is the number of failures since the last success.
+	consecutiveFailures int
+	// overdueTasks is the number of tasks of this entry that run far longer than their kind usually
+	// does.
+	overdueTasks int
+
+	ejected bool
+	// probeAt is the earliest time of the next probe.
 	probeAt    time.Time
 	probePause time.Duration
-	probing    bool
+	// probeInFlight is set while a probe is not answered yet.
+	probeInFlight bool
 }
 
-// Ejected reports whether the agent gets probes only.
+// Ejected reports whether the agent gets no tasks except probes.
 func (a *Agent) Ejected() bool { return a.ejected }
 
-// Slowness returns the learned ratio of run times here to those elsewhere.
+// Slowness returns the mean ratio of run times here to the mean of the kind over all agents; 1 if
+// none is measured.
 func (a *Agent) Slowness() float64 {
-	if a.slow == 0 {
+	if a.slowness == 0 {
 		return 1
 	}
-	return a.slow
+	return a.slowness
 }
 
-// Report records a load report of a: total tasks there and the entry's own part.
+// Report records a load report of a: the number of tasks there, and how many of them are of this
+// entry.
 func (p *Pool) Report(now time.Time, a *Agent, total, mine int) {
-	a.others = float64(max(0, total-mine))
+	a.othersLoad = float64(max(0, total-mine))
 	a.Reported = total
 	a.reportedAt = now
 	p.utilization += utilizationWeight * (float64(total)/float64(a.Slots) - p.utilization)
 }
 
-// utilizationWeight is that of one report in the mean load of all agents.
+// utilizationWeight is the weight of one load report in Pool.utilization.
 const utilizationWeight = 0.02
 
-// Sent records that a task was sent.
+// Sent records that a task was sent to the agent.
 func (a *Agent) Sent() { a.InFlight++ }
 
-// Answered records that a task sent earlier was answered, or given up.
+// Answered records that a task sent to the agent was answered or given up.
 func (a *Agent) Answered() {
 	if a.InFlight > 0 {
 		a.InFlight--
 	}
 }
 
-// Load estimates the tasks at the agent: the entry's own, which it knows, and
-// those of others. What a report said of these fades, within the mean run time,
-// into what the mean load of all agents lets expect.
+// Load estimates the number of tasks at the agent: those of this entry, which are known, and those
+// of others. The reported load of others decays with the mean run time towards the load that the
+// utilization of all agents predicts.
 func (p *Pool) Load(now time.Time, a *Agent) float64 {
 	own := float64(a.InFlight)
-	others := a.others
+	others := a.othersLoad
 	if age := now.Sub(a.reportedAt); a.meanRun > 0 && age > 0 {
-		kept := math.Exp(-float64(age) / float64(a.meanRun))
+		remaining := math.Exp(-float64(age) / float64(a.meanRun))
 		expected := max(0, p.utilization*float64(a.Slots)-own)
 		if a.Home {
-			expected = 0 // few others send here
+			expected = 0 // other entries send few tasks to an agent whose home they are not
 		}
-		others = others*kept + expected*(1-kept)
+		others = others*remaining + expected*(1-remaining)
 	}
 	return own + others
 }
 
-// expectedFinish is the expected wait for a slot plus the run time here.
+// expectedFinish returns the expected time to completion here: the wait for a slot plus the run
+// time.
 func (a *Agent) expectedFinish(load float64, run time.Duration) time.Duration {
-	here := float64(run) * a.Slowness()
+	runHere := float64(run) * a.Slowness()
 	wait := 0.0
 	if over := load - float64(a.Slots) + 1; over > 0 {
-		wait = over / float64(a.Slots) * here
+		wait = over / float64(a.Slots) * runHere
 	}
-	// A small term spreads work among agents that all have free slots.
-	spread := load / float64(a.Slots) * here * spreadWeight
-	return time.Duration(wait + here + spread)
+	// A small term that rises with the load spreads tasks among agents that all have free slots.
+	spread := load / float64(a.Slots) * runHere * spreadWeight
+	return time.Duration(wait + runHere + spread)
 }
 
+// spreadWeight is the weight of the load, as a fraction of the slots, in the run time of the
+// spreading term.
 const spreadWeight = 0.05
 
-// probeDue reports whether an ejected agent may get one task to prove itself.
-func (a *Agent) probeDue(now time.Time) bool {
-	return !a.probing && !now.Before(a.probeAt)
+// isProbeDue reports whether an ejected agent may get a task as a probe.
+func (a *Agent) isProbeDue(now time.Time) bool {
+	return !a.probeInFlight && !now.Before(a.probeAt)
 }
 
-// Probing marks that a probe is on its way.
+// Probing records that a task was sent to the agent, which is a probe if the agent is ejected.
 func (a *Agent) Probing() {
 	if a.ejected {
-		a.probing = true
+		a.probeInFlight = true
 	}
 }
--- a/core/rank/home.go
+++ b/core/rank/home.go
@@ -8,12 +8,13 @@
 	"github.com/zeebo/xxh3"
 )
 
-// evenUpTo is the number of agents up to which homes are dealt out in turn,
-// which is even; beyond, by rendezvous hashing, which does not need all entries
-// to see the same agents.
-const evenUpTo = 64
+// roundRobinUpTo is the highest number of agents to which homes are assigned round-robin, which is
+// even. More agents are assigned by rendezvous hashing, which does not need all entries to see the
+// same agents.
+const roundRobinUpTo = 64
 
-// SetHomes gives each agent one of the entries as its home and marks those of self.
+// SetHomes assigns one of the entries to each agent as its home, and sets Agent.Home where that is
+// self.
 func (p *Pool) SetHomes(self string, entries []string) {
 	if len(entries) == 0 {
 		return
@@ -21,11 +22,11 @@
 	sorted := slices.Sorted(slices.Values(entries))
 	agents := slices.Clone(p.order)
 	slices.SortFunc(agents, func(a, b *Agent) int { return strings.Compare(a.ID.Agent, b.ID.Agent) })
-	ring := rendezvous.New(sorted, xxh3.HashString)
+	hashing := rendezvous.New(sorted, xxh3.HashString)
 	for i, a := range agents {
 		home := sorted[i%len(sorted)]
-		if len(agents) > evenUpTo {
-			home = ring.Lookup(a.ID.Agent)
+		if len(agents) > roundRobinUpTo {
+			home = hashing.Lookup(a.ID.Agent)
 		}
 		a.Home = home == self
 	}
--- a/core/rank/learn.go
+++ b/core/rank/learn.go
@@ -4,39 +4,42 @@
 	"time"
 )
 
-// kindStats are the learned run times of one kind of task.
+// kindStats are the run times and failures measured for one kind of task.
 type kindStats struct {
-	mean float64
-	// high follows an upper quantile, for the detection of stragglers.
-	high     float64
+	// meanRun is the mean run time, in nanoseconds.
+	meanRun float64
+	// highRun estimates the highQuantile of run times, in nanoseconds, to detect stragglers.
+	highRun  float64
 	failRate float64
 	samples  int
 }
 
-// Tuning of what is learned about a kind.
+// Parameters of the statistics of a kind.
 const (
-	kindWeight = 0.05
-	// overallWeight is that of one result in the mean over all kinds.
-	overallWeight = 0.01
-	// highStep moves the quantile estimate; up and down steps balance at
-	// highQuantile.
+	// kindRunWeight is the least weight of one result in the mean run time of its kind.
+	kindRunWeight = 0.05
+	// overallRunWeight is the weight of one result in the mean run time over all kinds.
+	overallRunWeight = 0.01
+	// highStep is the step of the quantile estimate, as a fraction of it. Steps up and down balance
+	// at highQuantile.
 	highStep     = 0.02
 	highQuantile = 0.95
-	// kindFailRate is the failure rate of a kind from which its failures are
-	// held against the kind and not against the agent.
-	kindFailRate = 0.5
-	maxKinds     = 4096
+	// kindFailRateLimit is the failure rate of a kind above which its failures are attributed to
+	// the kind rather than the agent, if other agents fail too.
+	kindFailRateLimit = 0.5
+	// maxKinds is the number of kinds from which the statistics of all kinds are cleared.
+	maxKinds = 4096
 )
 
 // RunTime returns the expected run time of a kind on an average agent.
 func (p *Pool) RunTime(kind Kind) time.Duration {
 	if k := p.kinds[kind]; k != nil && k.samples > 0 {
-		return time.Duration(k.mean)
+		return time.Duration(k.meanRun)
 	}
 	return p.params.DefaultRunTime
 }
 
-// MeanRunTime returns the mean run time over all kinds, each by its frequency.
+// MeanRunTime returns the mean run time over the results of all kinds.
 func (p *Pool) MeanRunTime() time.Duration {
 	if p.meanRun == 0 {
 		return p.params.DefaultRunTime
@@ -44,81 +47,81 @@
 	return time.Duration(p.meanRun)
 }
 
-// SlowAfter returns the run time that few tasks of the kind exceed; zero if
-// too little is known.
+// SlowAfter returns the run time that few tasks of the kind exceed, or zero if there are too few
+// results.
 func (p *Pool) SlowAfter(kind Kind) time.Duration {
 	k := p.kinds[kind]
 	if k == nil || k.samples < 4*minSamples {
 		return 0
 	}
-	return time.Duration(k.high)
+	return time.Duration(k.highRun)
 }
 
-// Succeeded learns from a completed task.
+// Succeeded records the run time of a task that completed at a. A probe that ran in normal time
+// ends the ejection of a; an agent that has become too slow is ejected.
 func (p *Pool) Succeeded(now time.Time, a *Agent, kind Kind, run time.Duration) {
-	k := p.kind(kind)
+	k := p.statsOf(kind)
 	ratio := 1.0
-	if k.samples > 0 && k.mean > 0 {
-		ratio = float64(run) / k.mean
+	if k.samples > 0 && k.meanRun > 0 {
+		ratio = float64(run) / k.meanRun
 	}
-	k.learnRunTime(float64(run))
+	k.addRunTime(float64(run))
 	if p.meanRun == 0 {
 		p.meanRun = float64(run)
 	}
-	p.meanRun += overallWeight * (float64(run) - p.meanRun)
-	k.failRate *= 1 - failWeight
-	a.learn(ratio, float64(run), false)
-	a.probing = false
-	a.failedRow = 0
-	tooSlow := a.slow >= ejectSlowness && a.samples >= slowSamples
+	p.meanRun += overallRunWeight * (float64(run) - p.meanRun)
+	k.failRate *= 1 - failRateWeight
+	a.addResult(ratio, float64(run), false)
+	a.probeInFlight = false
+	a.consecutiveFailures = 0
+	tooSlow := a.slowness >= ejectSlowness && a.samples >= ejectSlownessSamples
 	switch {
 	case a.ejected && ratio < ejectSlowness:
 		p.restore(a)
 	case a.ejected:
-		p.postpone(now, a)
+		p.postponeProbe(now, a)
 	case tooSlow:
 		p.eject(now, a)
 	}
 }
 
-// Overdue records that a task sent to a runs far too long, or, with delta -1,
-// that such a task was answered or given up.
-func (a *Agent) Overdue(delta int) { a.overdue = max(0, a.overdue+delta) }
+// Overdue adds delta to the number of overdue tasks at a: 1 for a task that runs far too long, -1
+// when such a task is answered or given up.
+func (a *Agent) Overdue(delta int) { a.overdueTasks = max(0, a.overdueTasks+delta) }
 
-// suspect reports whether too many tasks run far too long at a.
-func (a *Agent) suspect() bool {
-	return a.overdue > 0 && float64(a.overdue) >= suspectOverdue*float64(a.Slots)
+// hasTooManyOverdue reports whether overdue tasks take maxOverdueShare of the slots of a or more.
+func (a *Agent) hasTooManyOverdue() bool {
+	return a.overdueTasks > 0 && float64(a.overdueTasks) >= maxOverdueShare*float64(a.Slots)
 }
 
-// postpone doubles the pause before the next probe.
-func (p *Pool) postpone(now time.Time, a *Agent) {
-	a.probePause = min(2*a.probePause, probeMax)
+// postponeProbe doubles the pause before the next probe.
+func (p *Pool) postponeProbe(now time.Time, a *Agent) {
+	a.probePause = min(2*a.probePause, maxProbePause)
 	a.probeAt = now.Add(a.probePause)
 }
 
-// Failed learns from a task that ran and failed. It returns true if the agent
-// is ejected by it.
+// Failed records a task that ran at a and failed. It returns true if a is ejected because of it.
 func (p *Pool) Failed(now time.Time, a *Agent, kind Kind) bool {
-	k := p.kind(kind)
-	k.failRate += failWeight * (1 - k.failRate)
-	a.probing = false
+	k := p.statsOf(kind)
+	k.failRate += failRateWeight * (1 - k.failRate)
+	a.probeInFlight = false
 	if a.ejected {
-		p.postpone(now, a)
+		p.postponeProbe(now, a)
 		return false
 	}
-	if k.failRate > kindFailRate && p.failsElsewhere(a) {
-		return false // the kind fails everywhere: not this agent's fault
+	if k.failRate > kindFailRateLimit && p.othersFailToo(a) {
+		return false // the kind fails everywhere, so the agent is not the cause
 	}
-	a.learn(1, 0, true)
-	a.failedRow++
-	if a.failedRow < ejectAfter && a.failRate < ejectFailRate {
+	a.addResult(1, 0, true)
+	a.consecutiveFailures++
+	if a.consecutiveFailures < ejectFailures && a.failRate < ejectFailRate {
 		return false
 	}
 	return p.eject(now, a)
 }
 
-// failsElsewhere reports whether other agents see failures too.
-func (p *Pool) failsElsewhere(a *Agent) bool {
+// othersFailToo reports whether an agent other than a has failures too.
+func (p *Pool) othersFailToo(a *Agent) bool {
 	for _, other := range p.order {
 		if other != a && other.failRate > ejectFailRate/2 {
 			return true
@@ -127,28 +130,31 @@
 	return false
 }
 
+// eject ejects a, unless too many agents are ejected already, and reports whether it did.
 func (p *Pool) eject(now time.Time, a *Agent) bool {
-	if float64(p.ejected+1) > ejectShare*float64(len(p.order)) {
+	if float64(p.ejected+1) > maxEjectedShare*float64(len(p.order)) {
 		return false
 	}
 	a.ejected = true
-	a.probePause = probeBase
-	a.probeAt = now.Add(probeBase)
+	a.probePause = minProbePause
+	a.probeAt = now.Add(minProbePause)
 	p.ejected++
 	return true
 }
 
+// restore ends the ejection of a and resets its statistics.
 func (p *Pool) restore(a *Agent) {
 	a.ejected = false
-	a.probing = false
+	a.probeInFlight = false
 	a.failRate = 0
-	a.failedRow = 0
-	a.slow = 1
+	a.consecutiveFailures = 0
+	a.slowness = 1
 	a.samples = 0
 	p.ejected--
 }
 
-func (p *Pool) kind(name Kind) *kindStats {
+// statsOf returns the statistics of a kind and creates them if there are none.
+func (p *Pool) statsOf(name Kind) *kindStats {
 	k := p.kinds[name]
 	if k == nil {
 		if len(p.kinds) >= maxKinds {
@@ -160,35 +166,38 @@
 	return k
 }
 
-func (k *kindStats) learnRunTime(run float64) {
+// addRunTime updates the mean and the quantile by a run time in nanoseconds.
+func (k *kindStats) addRunTime(run float64) {
 	k.samples++
-	weight := max(kindWeight, 1/float64(k.samples))
-	k.mean += weight * (run - k.mean)
-	if k.high == 0 {
-		k.high = run
+	weight := max(kindRunWeight, 1/float64(k.samples))
+	k.meanRun += weight * (run - k.meanRun)
+	if k.highRun == 0 {
+		k.highRun = run
 	}
-	if run > k.high {
-		k.high += highStep * highQuantile * max(k.high, run-k.high)
+	if run > k.highRun {
+		k.highRun += highStep * highQuantile * max(k.highRun, run-k.highRun)
 	} else {
-		k.high -= highStep * (1 - highQuantile) * k.high
+		k.highRun -= highStep * (1 - highQuantile) * k.highRun
 	}
 }
 
-func (a *Agent) learn(ratio, run float64, failed bool) {
+// addResult updates the statistics of a by one result: the ratio of its run time to the mean of the
+// kind, and its run time in nanoseconds. Both are ignored if the task failed.
+func (a *Agent) addResult(ratio, run float64, failed bool) {
 	a.samples++
 	if failed {
 		if a.samples >= minSamples {
-			a.failRate += failWeight * (1 - a.failRate)
+			a.failRate += failRateWeight * (1 - a.failRate)
 		}
 		return
 	}
-	a.failRate *= 1 - failWeight
-	if a.slow == 0 {
-		a.slow = 1
+	a.failRate *= 1 - failRateWeight
+	if a.slowness == 0 {
+		a.slowness = 1
 	}
-	a.slow += max(slowWeight, 1/float64(a.samples+1)) * (ratio - a.slow)
+	a.slowness += max(slownessWeight, 1/float64(a.samples+1)) * (ratio - a.slowness)
 	if a.meanRun == 0 {
 		a.meanRun = time.Duration(run)
 	}
-	a.meanRun += time.Duration(slowWeight * (run - float64(a.meanRun)))
+	a.meanRun += time.Duration(slownessWeight * (run - float64(a.meanRun)))
 }
--- a/core/rank/rank.go
+++ b/core/rank/rank.go
@@ -1,11 +1,14 @@
 // Package rank chooses the agent that is expected to finish a task first.
 //
-// A Pool is what one entry knows of its agents: the load each reported last,
-// what the entry itself has sent since, learned run times and success rates.
-// Picking is feasibility first (service, selector, not ejected, not leaving),
-// then the lowest expected finish time. With few agents all are compared; with
-// many, a bounded random sample, so that the cost does not grow and entries
-// with equally old reports do not all choose the same agent.
+// A Pool holds what one entry knows of its agents: the load that each reported last, the tasks that
+// the entry has sent since, and the run times and failure rates it has measured. A pick first
+// selects the agents that can take the task (service, selector, not ejected, not leaving), then the
+// one with the lowest expected time to completion. Few agents are all compared; of many, a random
+// sample of limited size. This bounds the cost of a pick and keeps entries with equally old reports
+// from choosing the same agent.
+//
+// Each agent has one entry as its home, the entry that mainly uses it. An entry prefers the agents
+// whose home it is, since it knows their load best; all others are away agents.
 //
 // The package has no clock and no random source of its own.
 package rank
@@ -21,7 +24,7 @@
 // Policy names a way to choose among feasible agents.
 type Policy string
 
-// Policies. Finish is the product's; the others are baselines to measure against.
+// Policies. Finish is used in production; the others are baselines for measurements.
 const (
 	Finish      Policy = "finish"
 	Random      Policy = "random"
@@ -30,125 +33,128 @@
 	TwoChoices  Policy = "two-choices"
 )
 
-// Policies lists all policies, the product's first.
+// Policies returns all policies, Finish first.
 func Policies() []Policy { return []Policy{Finish, Random, RoundRobin, LeastLoaded, TwoChoices} }
 
-// Params tune the ranking.
+// Params are the parameters of the ranking.
 type Params struct {
 	Policy Policy
-	// FullScan is the number of feasible agents up to which all are compared.
-	FullScan int
-	// Sample is the number compared beyond that.
-	Sample int
-	// Allowance is the number of tasks beyond its slots that an agent may be
-	// given by the Finish policy.
-	Allowance int
-	// Homes prefers the agents that mainly this entry uses.
-	Homes bool
-	// AwayMargin is how many slots more than one must be expected to be free at
-	// an agent whose home is another entry. It shrinks to none while the task
-	// waits for the mean run time.
+	// MaxFullScan is the highest number of feasible agents of which all are compared.
+	MaxFullScan int
+	// SampleSize is the number of agents compared if there are more than MaxFullScan.
+	SampleSize int
+	// QueueAllowance is the number of tasks beyond its slots that an agent may be given by the
+	// Finish policy.
+	QueueAllowance int
+	// PreferHomes has the agents whose home is this entry tried before all others.
+	PreferHomes bool
+	// AwayMargin is the number of slots, beyond the one for the task, that must be expected to be
+	// free at an away agent. It falls linearly to zero while the task waits for the mean run time.
 	AwayMargin float64
-	// AwayRefuse asks agents away from home to refuse a task rather than queue
-	// it: a shorter wait for two more messages.
+	// AwayRefuse asks away agents to refuse a task rather than queue it. This shortens the wait,
+	// for two more messages.
 	AwayRefuse bool
-	// LocalDataCentre is that of the entry.
+	// LocalDataCentre is the data centre of the entry.
 	LocalDataCentre string
-	// Drained are data centres whose agents get nothing new.
+	// Drained are the data centres whose agents get no new tasks. Policies Random and RoundRobin
+	// ignore it.
 	Drained []string
-	// CrossLatency is the round trip to another data centre.
+	// CrossLatency is the round-trip time to another data centre.
 	CrossLatency time.Duration
-	// DefaultRunTime is assumed for kinds never seen.
+	// DefaultRunTime is assumed for a kind without measured run times.
 	DefaultRunTime time.Duration
 }
 
-// DefaultParams returns the settings used unless configured otherwise.
+// DefaultParams returns the parameters that apply unless configured otherwise.
 func DefaultParams() Params {
 	return Params{
-		Policy: Finish, FullScan: 16, Sample: 6, Allowance: 0, Homes: true, AwayMargin: 2, AwayRefuse: true,
+		Policy: Finish, MaxFullScan: 16, SampleSize: 6, QueueAllowance: 0, PreferHomes: true, AwayMargin: 2, AwayRefuse: true,
 		CrossLatency: 2 * time.Millisecond, DefaultRunTime: 200 * time.Millisecond,
 	}
 }
 
-// Requirement is what a task asks of an agent.
+// Requirement is what a task requires of an agent.
 type Requirement struct {
 	Service  string
 	Selector label.Selector
 }
 
-// Kind names an operation of a service.
+// Kind identifies an operation of a service.
 type Kind struct{ Service, Name string }
 
-// Ask is what a task asks of the pool.
+// Ask describes the task for which an agent is picked.
 type Ask struct {
 	Requirement
 	Kind Kind
-	// Waited is how long the task has waited.
+	// Waited is how long the task has waited so far.
 	Waited time.Duration
-	// Spare is the number of slots at each agent that the task must leave free,
-	// for teams that have less than their share.
+	// Spare is the number of slots that the task must leave free at each agent, for teams that use
+	// less than their share.
 	Spare float64
-	// Avoid are agents that it must not be sent to.
+	// Avoid are agents that the task must not be sent to.
 	Avoid []ID
 }
 
-// key identifies the set of agents feasible for a requirement.
-type key struct{ service, selector string }
+// requirementKey identifies the set of agents that are feasible for a requirement.
+type requirementKey struct{ service, selector string }
 
-func (r Requirement) key() key { return key{r.Service, r.Selector.String()} }
+func (r Requirement) key() requirementKey { return requirementKey{r.Service, r.Selector.String()} }
 
-// Pool is the set of agents that one entry may use. Not safe for concurrent use.
+// Pool is the set of agents that one entry may use. It is not safe for concurrent use.
 type Pool struct {
-	params   Params
-	agents   map[ID]*Agent
-	order    []*Agent
-	feasible map[key]*candidates
-	kinds    map[Kind]*kindStats
+	params Params
+	agents map[ID]*Agent
+	// order has the agents in the order in which they were added.
+	order         []*Agent
+	feasibleCache map[requirementKey]*feasibleSet
+	kinds         map[Kind]*kindStats
 	// generation changes with the set of agents.
 	generation uint64
-	scratch    []*Agent
-	homes      []*Agent
-	next       int
-	rng        *rand.Rand
-	ejected    int
-	// meanRun is the mean run time over all kinds, in nanoseconds.
+	// scratch and homeScratch are reused by each pick, so that it does not allocate.
+	scratch     []*Agent
+	homeScratch []*Agent
+	// roundRobinNext is the place in the list at which the RoundRobin policy starts.
+	roundRobinNext int
+	rng            *rand.Rand
+	// ejected is the number of ejected agents.
+	ejected int
+	// meanRun is the mean run time over all kinds, in nanoseconds; zero before the first result.
 	meanRun float64
-	// utilization is the mean load of agents as a part of their slots.
+	// utilization is the mean load of all agents, as a fraction of their slots.
 	utilization float64
 }
 
-// candidates caches the feasible agents of one requirement until the set of agents changes.
-type candidates struct{ agents []*Agent }
+// feasibleSet caches the feasible agents of one requirement until the set of agents changes.
+type feasibleSet struct{ agents []*Agent }
 
-// NewPool returns an empty pool that draws from rng.
+// NewPool returns an empty pool that draws random numbers from rng.
 func NewPool(params Params, rng *rand.Rand) *Pool {
 	return &Pool{
 		params: params, agents: make(map[ID]*Agent),
-		feasible: make(map[key]*candidates), kinds: make(map[Kind]*kindStats), rng: rng,
+		feasibleCache: make(map[requirementKey]*feasibleSet), kinds: make(map[Kind]*kindStats), rng: rng,
 	}
 }
 
 // Configure replaces the parameters.
 func (p *Pool) Configure(params Params) { p.params = params }
 
-// Generation changes whenever an agent is added or removed.
+// Generation returns a number that changes whenever an agent is added or removed.
 func (p *Pool) Generation() uint64 { return p.generation }
 
-// Agents returns the agents in the order in which they joined.
+// Agents returns the agents in the order in which they were added.
 func (p *Pool) Agents() []*Agent { return p.order }
 
-// Get returns the agent, or nil.
+// Get returns the agent, or nil if it is not in the pool.
 func (p *Pool) Get(id ID) *Agent { return p.agents[id] }
 
-// Add adds an agent.
 func (p *Pool) Add(a *Agent) {
 	p.agents[a.ID] = a
 	p.order = append(p.order, a)
 	p.generation++
-	clear(p.feasible)
+	clear(p.feasibleCache)
 }
 
-// Remove removes an agent.
+// Remove removes an agent, if it is in the pool.
 func (p *Pool) Remove(id ID) {
 	if p.agents[id] == nil {
 		return
@@ -165,37 +171,38 @@
 	}
 	p.order = kept
 	p.generation++
-	clear(p.feasible)
+	clear(p.feasibleCache)
 }
 
-// Feasible returns the agents that match r, busy or not.
+// Feasible returns the agents that match r, whatever their load and state.
 func (p *Pool) Feasible(r Requirement) []*Agent {
 	k := r.key()
-	if c := p.feasible[k]; c != nil {
+	if c := p.feasibleCache[k]; c != nil {
 		return c.agents
 	}
-	c := new(candidates)
+	c := new(feasibleSet)
 	for _, a := range p.order {
 		if a.Service == r.Service && r.Selector.Matches(a.Labels) {
 			c.agents = append(c.agents, a)
 		}
 	}
-	if len(p.feasible) >= maxCachedRequirements {
-		clear(p.feasible)
+	if len(p.feasibleCache) >= maxCachedRequirements {
+		clear(p.feasibleCache)
 	}
-	p.feasible[k] = c
+	p.feasibleCache[k] = c
 	return c.agents
 }
 
+// maxCachedRequirements is the number of entries in feasibleCache from which the cache is cleared.
 const maxCachedRequirements = 4096
 
-// Best returns the agents that a submission of n tasks may be claimed for: all
-// feasible ones that are up if they are few, else enough for n tasks, with
-// spares, from a random place in the list.
+// Best returns the agents for which a submission of n tasks may be claimed: linked ones that are
+// not leaving. If no more than MaxFullScan agents are feasible, it returns all such agents;
+// otherwise as many as n tasks need plus the number of spares, from a random place in the list.
 func (p *Pool) Best(r Requirement, n, spares int) []*Agent {
 	feasible := p.Feasible(r)
-	if len(feasible) <= p.params.FullScan {
-		return p.standing(feasible, 0, len(feasible), len(feasible))
+	if len(feasible) <= p.params.MaxFullScan {
+		return p.takeAvailable(feasible, 0, len(feasible), len(feasible))
 	}
 	slots := 0
 	for _, a := range feasible {
@@ -203,11 +210,12 @@
 	}
 	perAgent := max(1, slots/len(feasible))
 	want := min(len(feasible), (n+perAgent-1)/perAgent+spares)
-	return p.standing(feasible, p.rng.IntN(len(feasible)), len(feasible), want)
+	return p.takeAvailable(feasible, p.rng.IntN(len(feasible)), len(feasible), want)
 }
 
-// standing returns up to want agents that are up, from a start in the list.
-func (p *Pool) standing(list []*Agent, start, scan, want int) []*Agent {
+// takeAvailable returns up to want agents that are linked and not leaving. It looks at scan agents
+// of the list, from index start on, and wraps around.
+func (p *Pool) takeAvailable(list []*Agent, start, scan, want int) []*Agent {
 	picked := make([]*Agent, 0, want)
 	for i := 0; i < scan && len(picked) < want; i++ {
 		a := list[(start+i)%len(list)]
@@ -221,19 +229,19 @@
 // Choice is the result of a pick.
 type Choice struct {
 	Agent *Agent
-	// RunnerUp is the second best that was compared, or nil.
+	// RunnerUp is the second best of the agents compared, or nil.
 	RunnerUp *Agent
-	// NoWait is set if the agent should refuse rather than queue the task.
+	// NoWait asks the agent to refuse the task rather than queue it.
 	NoWait bool
-	// Spare is the number of slots that the agent should keep free of it.
+	// Spare is the number of slots that the agent has to leave free if it accepts the task.
 	Spare int
-	// Finish and RunnerUpFinish are the expected times to completion.
+	// Finish and RunnerUpFinish are the expected times to completion. Policies that compare loads
+	// set the estimated load instead, with one second per task.
 	Finish, RunnerUpFinish time.Duration
 }
 
-// Pick chooses an agent for a task of the given kind that has waited for some
-// time, or none if every
-// feasible agent is full, ejected, leaving or in avoid.
+// Pick chooses an agent for a task. Choice.Agent is nil if every feasible agent is full, ejected,
+// leaving, without a link, in a drained data centre or in ask.Avoid.
 func (p *Pool) Pick(now time.Time, ask *Ask) Choice {
 	return p.pickFrom(now, p.Feasible(ask.Requirement), ask)
 }
@@ -249,6 +257,8 @@
 	return p.pickFrom(now, p.scratch, ask)
 }
 
+// pickFrom chooses among feasible agents by the policy. The Finish policy tries the agents whose
+// home is this entry first.
 func (p *Pool) pickFrom(now time.Time, feasible []*Agent, ask *Ask) Choice {
 	switch p.params.Policy {
 	case Random:
@@ -261,15 +271,16 @@
 		return p.pickSampled(now, feasible, ask, len(feasible), byLoad)
 	}
 	if choice := p.pickHome(now, feasible, ask); choice.Agent != nil {
-		return choice.sparing(ask)
+		return choice.withSpare(ask)
 	}
-	choice := p.pickSampled(now, feasible, ask, p.sample(feasible), byFinish)
-	choice.NoWait = p.params.Homes && p.params.AwayRefuse && choice.Agent != nil && !choice.Agent.Home && !p.overdue(ask.Waited)
-	return choice.sparing(ask)
+	choice := p.pickSampled(now, feasible, ask, p.sampleSize(feasible), byFinish)
+	choice.NoWait = p.params.PreferHomes && p.params.AwayRefuse && choice.Agent != nil && !choice.Agent.Home && !p.hasWaitedLong(ask.Waited)
+	return choice.withSpare(ask)
 }
 
-// sparing lets the agent enforce that slots are left free.
-func (c Choice) sparing(ask *Ask) Choice {
+// withSpare has the agent enforce that ask.Spare slots are left free, since the load known here may
+// be out of date.
+func (c Choice) withSpare(ask *Ask) Choice {
 	if ask.Spare > 0 {
 		c.NoWait = true
 		c.Spare = int(ask.Spare)
@@ -277,29 +288,30 @@
 	return c
 }
 
-// sample returns how many of a list are compared.
-func (p *Pool) sample(list []*Agent) int {
-	if len(list) > p.params.FullScan {
-		return p.params.Sample
+// sampleSize returns how many agents of a list are compared.
+func (p *Pool) sampleSize(list []*Agent) int {
+	if len(list) > p.params.MaxFullScan {
+		return p.params.SampleSize
 	}
 	return len(list)
 }
 
-// pickHome chooses among the agents that mainly this entry uses: of these it
-// knows the load best, since few others send to them.
+// pickHome chooses among the agents whose home is this entry. Their load is known best, since few
+// other entries send to them.
 func (p *Pool) pickHome(now time.Time, feasible []*Agent, ask *Ask) Choice {
-	if !p.params.Homes {
+	if !p.params.PreferHomes {
 		return Choice{}
 	}
-	p.homes = p.homes[:0]
+	p.homeScratch = p.homeScratch[:0]
 	for _, a := range feasible {
 		if a.Home {
-			p.homes = append(p.homes, a)
+			p.homeScratch = append(p.homeScratch, a)
 		}
 	}
-	return p.pickSampled(now, p.homes, ask, p.sample(p.homes), byFinish)
+	return p.pickSampled(now, p.homeScratch, ask, p.sampleSize(p.homeScratch), byFinish)
 }
 
+// scoring is what agents are compared by.
 type scoring int
 
 const (
@@ -307,7 +319,9 @@
 	byLoad
 )
 
-func (p *Pool) pickSampled(now time.Time, feasible []*Agent, ask *Ask, sample int, how scoring) Choice {
+// pickSampled chooses the best of sample agents: from a random start if all are compared, otherwise
+// drawn at random with replacement.
+func (p *Pool) pickSampled(now time.Time, feasible []*Agent, ask *Ask, sample int, by scoring) Choice {
 	var choice Choice
 	if len(feasible) == 0 {
 		return choice
@@ -319,43 +333,46 @@
 		sample = len(feasible)
 	}
 	for i := range sample {
-		at := (start + i) % len(feasible)
+		index := (start + i) % len(feasible)
 		if !all && i > 0 {
-			at = p.rng.IntN(len(feasible))
+			index = p.rng.IntN(len(feasible))
 		}
-		a := feasible[at]
-		if !p.usable(now, a, ask, how) || contains(ask.Avoid, a.ID) {
+		a := feasible[index]
+		if !p.isUsable(now, a, ask, by) || containsID(ask.Avoid, a.ID) {
 			continue
 		}
-		choice.offer(a, p.score(now, a, run, how))
+		choice.consider(a, p.score(now, a, run, by))
 	}
 	return choice
 }
 
-// usable reports whether a may be given a task now.
-func (p *Pool) usable(now time.Time, a *Agent, ask *Ask, how scoring) bool {
+// isUsable reports whether a may be given the task now. Policies that compare loads only check that
+// a is linked, not leaving and not in a drained data centre.
+func (p *Pool) isUsable(now time.Time, a *Agent, ask *Ask, by scoring) bool {
 	if a.Leaving || a.Down || slices.Contains(p.params.Drained, a.DataCentre) {
 		return false
 	}
-	if how == byLoad {
+	if by == byLoad {
 		return true
 	}
-	if (a.ejected && !a.probeDue(now)) || (!a.ejected && a.suspect()) {
+	if (a.ejected && !a.isProbeDue(now)) || (!a.ejected && a.hasTooManyOverdue()) {
 		return false
 	}
-	room := float64(a.Slots+p.params.Allowance) - ask.Spare
-	if p.params.Homes && !a.Home {
-		room -= p.params.AwayMargin * max(0, 1-float64(ask.Waited)/float64(p.MeanRunTime()))
+	limit := float64(a.Slots+p.params.QueueAllowance) - ask.Spare
+	if p.params.PreferHomes && !a.Home {
+		limit -= p.params.AwayMargin * max(0, 1-float64(ask.Waited)/float64(p.MeanRunTime()))
 	}
-	return p.Load(now, a)+1 <= room
+	return p.Load(now, a)+1 <= limit
 }
 
-// overdue reports whether a task has waited for so long that its home must be
-// overloaded: it then rather queues away from home than be refused.
-func (p *Pool) overdue(waited time.Duration) bool { return waited >= p.MeanRunTime() }
+// hasWaitedLong reports whether a task has waited for the mean run time or longer. The agents of
+// its home must then be overloaded, so it is better to queue at an away agent than to be refused.
+func (p *Pool) hasWaitedLong(waited time.Duration) bool { return waited >= p.MeanRunTime() }
 
-func (p *Pool) score(now time.Time, a *Agent, run time.Duration, how scoring) time.Duration {
-	if how == byLoad {
+// score returns what agents are compared by, the lower the better: the expected time to completion,
+// or the estimated load with one second per task.
+func (p *Pool) score(now time.Time, a *Agent, run time.Duration, by scoring) time.Duration {
+	if by == byLoad {
 		return time.Duration(p.Load(now, a) * float64(time.Second))
 	}
 	finish := a.expectedFinish(p.Load(now, a), run)
@@ -365,8 +382,8 @@
 	return finish
 }
 
-// offer keeps the best two.
-func (c *Choice) offer(a *Agent, finish time.Duration) {
+// consider updates the best and the second best agent by a.
+func (c *Choice) consider(a *Agent, finish time.Duration) {
 	switch {
 	case c.Agent == nil || finish < c.Finish:
 		c.RunnerUp, c.RunnerUpFinish = c.Agent, c.Finish
@@ -380,27 +397,29 @@
 	if len(feasible) == 0 {
 		return Choice{}
 	}
-	return p.firstFrom(feasible, avoid, p.rng.IntN(len(feasible)))
+	return p.firstAvailableFrom(feasible, avoid, p.rng.IntN(len(feasible)))
 }
 
 func (p *Pool) pickRoundRobin(feasible []*Agent, avoid []ID) Choice {
-	p.next++
-	return p.firstFrom(feasible, avoid, p.next)
+	p.roundRobinNext++
+	return p.firstAvailableFrom(feasible, avoid, p.roundRobinNext)
 }
 
-func (p *Pool) firstFrom(feasible []*Agent, avoid []ID, start int) Choice {
+// firstAvailableFrom returns the first agent from index start on that is linked, not leaving and not
+// in avoid; it wraps around.
+func (p *Pool) firstAvailableFrom(feasible []*Agent, avoid []ID, start int) Choice {
 	for i := range feasible {
 		a := feasible[(start+i)%len(feasible)]
-		if !a.Leaving && !a.Down && !contains(avoid, a.ID) {
+		if !a.Leaving && !a.Down && !containsID(avoid, a.ID) {
 			return Choice{Agent: a}
 		}
 	}
 	return Choice{}
 }
 
-func contains(ids []ID, id ID) bool {
-	for _, have := range ids {
-		if have == id {
+func containsID(ids []ID, id ID) bool {
+	for _, other := range ids {
+		if other == id {
 			return true
 		}
 	}
--- a/core/rank/rank_test.go
+++ b/core/rank/rank_test.go
@@ -25,7 +25,7 @@
 	return p
 }
 
-func require(t testing.TB, selector string) Requirement {
+func requirement(t testing.TB, selector string) Requirement {
 	s, err := label.Parse("selector", selector)
 	if err != nil {
 		t.Fatal(err)
@@ -38,8 +38,8 @@
 	p := newPool(3)
 	p.Report(start, p.Agents()[0], 5, 0)
 	p.Report(start, p.Agents()[2], 7, 0)
-	is.Equal(p.Pick(start, &Ask{Requirement: require(t, ""), Kind: scan}).Agent, p.Agents()[1])
-	is.Equal(p.Pick(start, &Ask{Requirement: require(t, "rack=0"), Kind: Kind{}, Avoid: []ID{p.Agents()[1].ID}}).Agent, p.Agents()[0])
+	is.Equal(p.Pick(start, &Ask{Requirement: requirement(t, ""), Kind: scan}).Agent, p.Agents()[1])
+	is.Equal(p.Pick(start, &Ask{Requirement: requirement(t, "rack=0"), Kind: Kind{}, Avoid: []ID{p.Agents()[1].ID}}).Agent, p.Agents()[0])
 }
 
 func TestFullAgentsAreNotPicked(t *testing.T) {
@@ -48,16 +48,16 @@
 	for range 8 {
 		p.Agents()[0].Sent()
 	}
-	is.True(p.Pick(start, &Ask{Requirement: require(t, ""), Kind: scan}).Agent == nil)
+	is.True(p.Pick(start, &Ask{Requirement: requirement(t, ""), Kind: scan}).Agent == nil)
 	p.Agents()[0].Answered()
-	is.True(p.Pick(start, &Ask{Requirement: require(t, ""), Kind: scan}).Agent != nil)
+	is.True(p.Pick(start, &Ask{Requirement: requirement(t, ""), Kind: scan}).Agent != nil)
 }
 
 func TestAgentsInADrainedDataCentreAreNotPicked(t *testing.T) {
 	is := is.New(t)
 	p := newPool(2)
 	p.Agents()[0].DataCentre, p.Agents()[1].DataCentre = "a", "b"
-	ask := &Ask{Requirement: require(t, ""), Kind: scan}
+	ask := &Ask{Requirement: requirement(t, ""), Kind: scan}
 	params := DefaultParams()
 	params.Drained = []string{"a"}
 	p.Configure(params)
@@ -67,10 +67,10 @@
 	params.Drained = []string{"a", "b"}
 	p.Configure(params)
 	is.True(p.Pick(start, ask).Agent == nil)
-	is.Equal(len(p.Feasible(ask.Requirement)), 2) // the task waits, it is not impossible
+	is.Equal(len(p.Feasible(ask.Requirement)), 2) // the task has to wait; it is not infeasible
 }
 
-func TestAwayFromHomeNeedsRoomAndIsNotToWait(t *testing.T) {
+func TestAwayAgentNeedsMarginAndIsAskedNotToQueue(t *testing.T) {
 	is := is.New(t)
 	p := newPool(2)
 	p.SetHomes("entry", []string{"entry", "other"})
@@ -79,28 +79,28 @@
 		home.Sent()
 	}
 	p.Report(start, away, 6, 0)
-	is.True(p.Pick(start, &Ask{Requirement: require(t, ""), Kind: scan}).Agent == nil) // 6 + 1 + margin 2 exceeds 8
-	choice := p.Pick(start, &Ask{Requirement: require(t, ""), Kind: scan, Waited: p.MeanRunTime()})
+	is.True(p.Pick(start, &Ask{Requirement: requirement(t, ""), Kind: scan}).Agent == nil) // 6 + 1 + margin 2 exceeds 8
+	choice := p.Pick(start, &Ask{Requirement: requirement(t, ""), Kind: scan, Waited: p.MeanRunTime()})
 	is.Equal(choice.Agent, away)
-	is.True(!choice.NoWait) // overdue work rather queues
+	is.True(!choice.NoWait) // a task that has waited long is to be queued
 	p.Report(start, away, 1, 0)
-	is.True(p.Pick(start, &Ask{Requirement: require(t, ""), Kind: scan}).NoWait)
+	is.True(p.Pick(start, &Ask{Requirement: requirement(t, ""), Kind: scan}).NoWait)
 }
 
-func TestFailingAgentIsEjectedAndProbedBack(t *testing.T) {
+func TestFailingAgentIsEjectedAndRestoredByProbe(t *testing.T) {
 	is := is.New(t)
 	p := newPool(11)
 	bad := p.Agents()[4]
-	for range ejectAfter - 1 {
+	for range ejectFailures - 1 {
 		is.True(!p.Failed(start, bad, scan))
 	}
 	is.True(p.Failed(start, bad, scan))
 	is.True(bad.Ejected())
-	is.True(!p.usable(start, bad, &Ask{}, byFinish))
-	later := start.Add(probeBase)
-	is.True(p.usable(later, bad, &Ask{}, byFinish))
+	is.True(!p.isUsable(start, bad, &Ask{}, byFinish))
+	later := start.Add(minProbePause)
+	is.True(p.isUsable(later, bad, &Ask{}, byFinish))
 	bad.Probing()
-	is.True(!p.usable(later, bad, &Ask{}, byFinish)) // one probe at a time
+	is.True(!p.isUsable(later, bad, &Ask{}, byFinish)) // a probe is in flight
 	p.Succeeded(later, bad, scan, 100*time.Millisecond)
 	is.True(!bad.Ejected())
 }
@@ -110,7 +110,7 @@
 	p := newPool(11)
 	ejected := 0
 	for _, a := range p.Agents() {
-		for range ejectAfter {
+		for range ejectFailures {
 			p.Failed(start, a, Kind{Name: a.ID.Agent})
 		}
 		if a.Ejected() {
@@ -126,22 +126,22 @@
 	for i := range 100 {
 		p.Succeeded(start, p.Agents()[i%10], scan, 100*time.Millisecond)
 	}
-	for range slowSamples {
+	for range ejectSlownessSamples {
 		p.Succeeded(start, p.Agents()[10], scan, time.Second)
 	}
 	is.True(p.Agents()[10].Ejected())
 }
 
-func TestOverdueTasksMakeAnAgentSuspect(t *testing.T) {
+func TestOverdueTasksExcludeAnAgent(t *testing.T) {
 	is := is.New(t)
 	p := newPool(1)
 	p.Agents()[0].Overdue(1)
-	is.True(p.usable(start, p.Agents()[0], &Ask{}, byFinish))
+	is.True(p.isUsable(start, p.Agents()[0], &Ask{}, byFinish))
 	p.Agents()[0].Overdue(1)
-	is.True(!p.usable(start, p.Agents()[0], &Ask{}, byFinish))
+	is.True(!p.isUsable(start, p.Agents()[0], &Ask{}, byFinish))
 }
 
-func TestHomesAreEven(t *testing.T) {
+func TestHomesAreAssignedEvenly(t *testing.T) {
 	is := is.New(t)
 	entries := []string{"a", "b", "c"}
 	total := 0
@@ -163,18 +163,18 @@
 func TestPickDoesNotAllocate(t *testing.T) {
 	is := is.New(t)
 	p := newPool(540)
-	r := require(t, "rack in (1,2,3,4,5,6,7,8,9),cores>8")
+	r := requirement(t, "rack in (1,2,3,4,5,6,7,8,9),cores>8")
 	ask := &Ask{Requirement: r, Kind: scan}
 	p.Pick(start, ask)
 	is.Equal(testing.AllocsPerRun(100, func() { p.Pick(start, ask) }), 0.0)
 }
 
-// BenchmarkPick is the cost of one decision by the number of agents.
+// BenchmarkPick measures one pick by the number of agents.
 func BenchmarkPick(b *testing.B) {
 	for _, agents := range []int{11, 54, 166, 540} {
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
 			p := newPool(agents)
-			r := require(b, "cores>8,rack notin (7)")
+			r := requirement(b, "cores>8,rack notin (7)")
 			ask := &Ask{Requirement: r, Kind: scan}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -184,10 +184,10 @@
 	}
 }
 
-// BenchmarkPickAmong is the cost for a claimed submission of 140 tasks.
+// BenchmarkPickAmong measures one pick among the candidates of a submission of 140 tasks.
 func BenchmarkPickAmong(b *testing.B) {
 	p := newPool(540)
-	r := require(b, "cores>8,rack notin (7)")
+	r := requirement(b, "cores>8,rack notin (7)")
 	among := p.Best(r, 140, 3)
 	ask := &Ask{Requirement: r, Kind: scan}
 	b.ReportAllocs()
