--- a/core/wake/wake.go
+++ b/core/wake/wake.go
@@ -1,13 +1,14 @@
 // Package wake decides which workers to wake and which to put to sleep.
 //
-// Each entry decides for the workers whose home it is, from the demand that it
-// sees itself. Several entries that decide for one worker at once, as they may
-// while membership changes, do no harm: waking and sleeping are idempotent, a
-// worker that is to sleep is asked to rest first, which its agent takes back by
-// itself, and only a worker that rests and has no task is put to sleep.
+// Each entry decides for the workers whose home it is, from the demand for slots that its own tasks
+// have. Before a worker is put to sleep, its agent is asked to rest: to refuse new tasks for a
+// limited time. Only a worker that rests and has no task is put to sleep.
 //
-// The decision errs on the side of awake: without a fresh list of workers
-// nothing is put to sleep.
+// While the membership of the entries changes, several entries may decide for one worker at once.
+// This does no harm: to wake and to put to sleep are idempotent, and a rest ends without a further
+// message.
+//
+// When in doubt, workers stay awake: without an up-to-date list of workers none is put to sleep.
 package wake
 
 import (
@@ -15,10 +16,10 @@
 	"time"
 )
 
-// Power is the state of a worker's hardware.
+// Power is the power state of a worker.
 type Power uint8
 
-// States of a worker.
+// Power states.
 const (
 	Asleep Power = iota
 	Waking
@@ -30,126 +31,137 @@
 	ID    string
 	Power Power
 	Slots int
-	// Linked is true if its agent is linked.
+	// Linked is set if there is a link to the agent of the worker.
 	Linked bool
-	// Resting is true if its agent refuses new work on our request.
+	// Resting is set while the agent refuses new tasks because an entry asked it to rest.
 	Resting bool
-	// Load is the number of tasks that its agent reported last.
+	// Load is the number of tasks at the agent by its last load report.
 	Load int
 }
 
-// Params are set by configuration.
+// Params are the parameters of the decision. They come from the configuration.
 type Params struct {
-	// Headroom is the part of the demand kept free beyond it.
+	// Headroom is the fraction of the demand by which the slots of awake workers should exceed it.
 	Headroom float64
-	// MinAwake is the number of workers that stay awake.
+	// MinAwake is the least number of workers that stay awake.
 	MinAwake int
-	// IdleBeforeSleep is how long a worker must not be needed.
+	// IdleBeforeSleep is how long there must be one worker more than needed before one is asked to
+	// rest.
 	IdleBeforeSleep time.Duration
 }
 
-// Plan is what to do now.
+// Plan lists the workers, by ID, to wake, to ask to rest and to put to sleep.
 type Plan struct {
 	Wake []string
-	// Rest asks agents to refuse new work for a while, before sleep.
+	// Rest are workers whose agents are to refuse new tasks for a while, so that they can be put to
+	// sleep.
 	Rest  []string
 	Sleep []string
 }
 
-// Smoothing of the demand: the fast mean decides how much is needed, its
-// distance from the slow one tells the trend.
+// Parameters of the smoothed means. The demand is the fast mean; its distance from the slow mean
+// gives the trend.
 const (
-	fastTime   = 2 * time.Second
-	slowTime   = 10 * time.Second
-	wakeWeight = 0.3
-	// maxAhead bounds how far the trend is extended, in units of slowTime.
-	maxAhead = 2.0
-	// defaultWakeTime is assumed until a wake was seen.
+	fastTimeConstant = 2 * time.Second
+	slowTimeConstant = 10 * time.Second
+	// wakeTimeWeight is the weight of one measured wake in the mean wake time.
+	wakeTimeWeight = 0.3
+	// maxTrendFactor limits the extrapolation of the trend, in units of slowTimeConstant.
+	maxTrendFactor = 2.0
+	// defaultWakeTime is the wake time before the first measurement.
 	defaultWakeTime = 10 * time.Second
 )
 
-// Decider is the state of the decision. Not safe for concurrent use.
+// Decider holds the state of the decision. It is not safe for concurrent use.
 type Decider struct {
 	params Params
-	// fast and slow are means of the slots needed.
-	fast, slow float64
-	lastAt     time.Time
-	// surplusSince is since when a worker more than needed is awake.
+	// fastDemand and slowDemand are exponentially weighted means of the number of slots needed.
+	fastDemand, slowDemand float64
+	// lastUpdate is the time at which the means were updated last.
+	lastUpdate time.Time
+	// surplusSince is the time since which one worker more than needed is awake; zero if there is
+	// none.
 	surplusSince time.Time
-	// wakeTime is learned; waking holds when each wake began.
-	wakeTime time.Duration
-	waking   map[string]time.Time
+	// wakeTime is the mean of measured wake times, from defaultWakeTime on. wakeStarted has the
+	// start of each wake that is not finished, by worker ID.
+	wakeTime    time.Duration
+	wakeStarted map[string]time.Time
 }
 
-// New returns a decider.
+// New returns a decider without measurements.
 func New(params Params) *Decider {
-	return &Decider{params: params, wakeTime: defaultWakeTime, waking: make(map[string]time.Time)}
+	return &Decider{params: params, wakeTime: defaultWakeTime, wakeStarted: make(map[string]time.Time)}
 }
 
 // Configure replaces the parameters.
 func (d *Decider) Configure(params Params) { d.params = params }
 
-// WakeTime returns the learned time from a wake to the agent's link.
+// WakeTime returns the mean time from the start of a wake to the link of the agent.
 func (d *Decider) WakeTime() time.Duration { return d.wakeTime }
 
-// Decide returns what to do, given the slots that this entry's tasks need now
-// (in flight and waiting) and its workers. fresh is false if the list of
-// workers could not be read lately.
+// Decide returns what to do now. demand is the number of slots that the tasks of this entry need,
+// in flight and waiting; workers are those whose home is this entry. fresh is false if the list of
+// workers is out of date; nothing is put to sleep then.
 func (d *Decider) Decide(now time.Time, demand float64, workers []Worker, fresh bool) Plan {
-	d.learn(now, demand, workers)
-	need := d.need()
-	ready, coming := 0, 0
+	d.update(now, demand, workers)
+	needed := d.slotsNeeded()
+	awakeSlots, wakingSlots := 0, 0
 	for _, w := range workers {
 		switch {
 		case w.Power == Awake && !w.Resting:
-			ready += w.Slots
+			awakeSlots += w.Slots
 		case w.Power == Waking:
-			coming += w.Slots
+			wakingSlots += w.Slots
 		}
 	}
 	var plan Plan
-	if float64(ready+coming) < need {
+	if float64(awakeSlots+wakingSlots) < needed {
 		d.surplusSince = time.Time{}
-		plan.Wake = d.chooseWake(now, workers, need-float64(ready+coming))
+		plan.Wake = d.chooseToWake(now, workers, needed-float64(awakeSlots+wakingSlots))
 		return plan
 	}
 	if !fresh {
 		return plan
 	}
-	plan.Sleep = rested(workers)
-	plan.Rest = d.chooseRest(now, workers, float64(ready), d.keep())
+	plan.Sleep = readyToSleep(workers)
+	plan.Rest = d.chooseToRest(now, workers, float64(awakeSlots), d.slotsToKeep())
 	return plan
 }
 
-// learn updates demand, trend and wake times.
-func (d *Decider) learn(now time.Time, demand float64, workers []Worker) {
-	if d.lastAt.IsZero() {
-		d.fast, d.slow = demand, demand
+// update adds the demand to the means, and the wake times of the workers that are linked by now.
+func (d *Decider) update(now time.Time, demand float64, workers []Worker) {
+	if d.lastUpdate.IsZero() {
+		d.fastDemand, d.slowDemand = demand, demand
 	}
-	elapsed := now.Sub(d.lastAt)
-	d.lastAt = now
-	d.fast += (1 - math.Exp(-elapsed.Seconds()/fastTime.Seconds())) * (demand - d.fast)
-	d.slow += (1 - math.Exp(-elapsed.Seconds()/slowTime.Seconds())) * (demand - d.slow)
+	elapsed := now.Sub(d.lastUpdate)
+	d.lastUpdate = now
+	d.fastDemand += (1 - math.Exp(-elapsed.Seconds()/fastTimeConstant.Seconds())) * (demand - d.fastDemand)
+	d.slowDemand += (1 - math.Exp(-elapsed.Seconds()/slowTimeConstant.Seconds())) * (demand - d.slowDemand)
 	for _, w := range workers {
-		began, ok := d.waking[w.ID]
+		startedAt, ok := d.wakeStarted[w.ID]
 		if ok && w.Linked {
-			d.wakeTime += time.Duration(wakeWeight * float64(now.Sub(began)-d.wakeTime))
-			delete(d.waking, w.ID)
+			d.wakeTime += time.Duration(wakeTimeWeight * float64(now.Sub(startedAt)-d.wakeTime))
+			delete(d.wakeStarted, w.ID)
 		}
 	}
 }
 
-// need is the number of slots that should be awake: the demand expected when a
-// worker woken now would be ready, with headroom.
-func (d *Decider) need() float64 {
-	ahead := math.Min(maxAhead, d.wakeTime.Seconds()/slowTime.Seconds())
-	return (d.fast + math.Max(0, d.fast-d.slow)*ahead) * (1 + d.params.Headroom)
+// slotsNeeded returns the number of slots that should be awake: the demand expected at the time
+// when a worker woken now is ready, plus headroom.
+func (d *Decider) slotsNeeded() float64 {
+	ahead := math.Min(maxTrendFactor, d.wakeTime.Seconds()/slowTimeConstant.Seconds())
+	return (d.fastDemand + math.Max(0, d.fastDemand-d.slowDemand)*ahead) * (1 + d.params.Headroom)
 }
 
-// keep is the number of slots that should stay awake: it falls slowly.
-func (d *Decider) keep() float64 { return math.Max(d.fast, d.slow) * (1 + d.params.Headroom) }
+// slotsToKeep returns the number of slots that should stay awake. It falls only as fast as the slow
+// mean of the demand.
+func (d *Decider) slotsToKeep() float64 {
+	return math.Max(d.fastDemand, d.slowDemand) * (1 + d.params.Headroom)
+}
 
-func (d *Decider) chooseWake(now time.Time, workers []Worker, missing float64) []string {
+// chooseToWake returns the first sleeping workers that have the missing number of slots, and
+// records the start of their wakes.
+func (d *Decider) chooseToWake(now time.Time, workers []Worker, missing float64) []string {
 	var chosen []string
 	for _, w := range workers {
 		if missing <= 0 {
@@ -159,15 +171,15 @@
 			continue
 		}
 		chosen = append(chosen, w.ID)
-		d.waking[w.ID] = now
+		d.wakeStarted[w.ID] = now
 		missing -= float64(w.Slots)
 	}
 	return chosen
 }
 
-// chooseRest picks the least loaded worker if one more than needed has been
-// awake for long enough.
-func (d *Decider) chooseRest(now time.Time, workers []Worker, ready, need float64) []string {
+// chooseToRest returns the linked worker with the lowest load if one worker more than needed has
+// been awake for IdleBeforeSleep.
+func (d *Decider) chooseToRest(now time.Time, workers []Worker, awakeSlots, needed float64) []string {
 	awake := 0
 	var least *Worker
 	for i := range workers {
@@ -180,7 +192,7 @@
 			least = w
 		}
 	}
-	if least == nil || awake <= d.params.MinAwake || ready-float64(least.Slots) < need {
+	if least == nil || awake <= d.params.MinAwake || awakeSlots-float64(least.Slots) < needed {
 		d.surplusSince = time.Time{}
 		return nil
 	}
@@ -194,8 +206,8 @@
 	return []string{least.ID}
 }
 
-// rested lists the workers that rest and have no task.
-func rested(workers []Worker) []string {
+// readyToSleep returns the workers that rest and have no task.
+func readyToSleep(workers []Worker) []string {
 	var list []string
 	for _, w := range workers {
 		if w.Power == Awake && w.Linked && w.Resting && w.Load == 0 {
