--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -1,8 +1,7 @@
-// Package policy names the mechanisms by which entries and agents decide under
-// load and faults, so that each can be switched off alone and its worth measured.
+// Package policy names the mechanisms by which entries and agents decide under load and faults, so
+// that each can be disabled alone and its effect measured.
 //
-// Production runs with all of them: the zero Policy. Only the emulator and tests
-// switch any off.
+// In production all are enabled, which is the zero Policy. Only the emulator and tests disable any.
 package policy
 
 import (
@@ -12,31 +11,32 @@
 	"github.com/rotisserie/eris"
 )
 
-// Mechanism is the name of one mechanism.
+// Mechanism is the name of a mechanism, as settings and reports have it.
 type Mechanism string
 
 // Mechanisms of entries.
 const (
-	// Yield has queues of low priority give way while more urgent jobs are lost.
+	// Yield refuses jobs of queues with low priority while more urgent jobs are lost.
 	Yield Mechanism = "yield"
-	// LearnedWaits corrects predicted waits by measured ones.
+	// LearnedWaits corrects predicted waiting times by measured ones.
 	LearnedWaits Mechanism = "learned-waits"
 	// LearnedRunTimes corrects declared run times by measured ones.
 	LearnedRunTimes Mechanism = "learned-run-times"
-	// Spread tells equal workers apart at random.
+	// Spread breaks ties among equal workers at random.
 	Spread Mechanism = "spread"
-	// SlackBands leaves waiting runs that have more slack out of a worker's load.
+	// SlackBands does not count waiting runs that have more slack than the new run in a worker's
+	// load.
 	SlackBands Mechanism = "slack-bands"
-	// Pace prefers workers that are not slower than the typical one.
+	// Pace prefers workers that run tasks no slower than the typical worker.
 	Pace Mechanism = "pace"
-	// Probing keeps work from workers that fail or crawl, but for single probes.
+	// Probing gives workers that fail or are very slow no work except single probes.
 	Probing Mechanism = "probing"
-	// Withdrawing takes waiting runs back for room that is free elsewhere.
+	// Withdrawing takes waiting runs back from their worker if another one has free capacity.
 	Withdrawing Mechanism = "withdrawing"
-	// Restarting begins runs on slow workers anew elsewhere.
+	// Restarting starts runs of slow workers again on another one.
 	Restarting Mechanism = "restarting"
-	// Deferring keeps jobs that would be late for room that stays free, instead of
-	// refusing them.
+	// Deferring keeps jobs that would end late, to run them in capacity that stays free, rather
+	// than refusing them.
 	Deferring Mechanism = "deferring"
 	// RefusedBefore has a task avoid workers that refused it.
 	RefusedBefore Mechanism = "refused-before"
@@ -46,9 +46,9 @@
 const (
 	// LeastSlack starts waiting runs in the order of their slack.
 	LeastSlack Mechanism = "least-slack"
-	// Passing lets smaller runs pass one that does not fit.
+	// Passing lets a smaller run start before one that does not fit into the free capacity.
 	Passing Mechanism = "passing"
-	// Progress judges a worker's pace also by runs that are under way.
+	// Progress judges the speed of a worker also by its unfinished runs.
 	Progress Mechanism = "progress"
 )
 
@@ -60,24 +60,25 @@
 	}
 }
 
-// Policy says which mechanisms are in force. The zero value has all of them.
-type Policy struct{ off map[Mechanism]bool }
+// Policy says which mechanisms are enabled. The zero value enables all.
+type Policy struct{ disabled map[Mechanism]bool }
 
-// Has reports whether a mechanism is in force.
-func (p Policy) Has(m Mechanism) bool { return !p.off[m] }
+// Has reports whether a mechanism is enabled.
+func (p Policy) Has(m Mechanism) bool { return !p.disabled[m] }
 
-// Without returns the policy that lacks the mechanisms of the given names.
+// Without returns the policy that disables the mechanisms of the given names. It fails if a name is
+// unknown.
 func Without(names ...string) (Policy, error) {
-	p := Policy{off: make(map[Mechanism]bool)}
+	p := Policy{disabled: make(map[Mechanism]bool)}
 	for _, name := range names {
 		m := Mechanism(name)
 		if !slices.Contains(All(), m) {
-			return Policy{}, eris.Errorf("no mechanism is called %q; there are %v", name, All())
+			return Policy{}, eris.Errorf("unknown mechanism %q; known mechanisms: %v", name, All())
 		}
-		p.off[m] = true
+		p.disabled[m] = true
 	}
 	return p, nil
 }
 
-// Missing returns the mechanisms that are switched off, in alphabetical order.
-func (p Policy) Missing() []Mechanism { return slices.Sorted(maps.Keys(p.off)) }
+// Missing returns the disabled mechanisms, sorted by name.
+func (p Policy) Missing() []Mechanism { return slices.Sorted(maps.Keys(p.disabled)) }
