--- a/core/protocol/checker_test.go
+++ b/core/protocol/checker_test.go
@@ -13,18 +13,18 @@
 	"peridotpick.example/wire"
 )
 
-// request is one caller's request in the history.
+// request is a request to an entry that is not answered yet: of a caller, or of another entry.
 type request struct {
 	submission string
 	sentAt     time.Time
 	tasks      int
-	// peer is set for a question of another entry, which is no caller.
-	peer func(*wire.Outcome)
-	// gone tells that entry that the connection broke.
-	gone func()
+	// answerPeer delivers the answer if another entry asked; nil for a request of a caller.
+	answerPeer func(*wire.Outcome)
+	// failPeer reports to the other entry that the connection broke.
+	failPeer func()
 }
 
-// runRecord is one start in a backend server.
+// runRecord is one execution in a backend server.
 type runRecord struct {
 	submission string
 	index      uint32
@@ -32,153 +32,169 @@
 	running    bool
 }
 
-// subRecord is the history of one submission.
-type subRecord struct {
+// submissionRecord is the history of one submission.
+type submissionRecord struct {
 	repeatable bool
 	claimed    bool
-	starts     map[uint32][]*runRecord
-	open       int
-	answers    []*wire.Outcome
-	recorded   *wire.Outcome
-	// notRunOnly is true while every answer so far proved "not run".
-	notRunOnly bool
-	closed     *claim.Row
-	history    []porcupine.Operation
+	// starts are the executions of each task, by index.
+	starts map[uint32][]*runRecord
+	// openRequests is the number of unanswered requests of callers.
+	openRequests int
+	answers      []*wire.Outcome
+	// recordedOutcome is the outcome that a caller of a keyed submission read last.
+	recordedOutcome *wire.Outcome
+	// allAnsweredNotRun is set while all requests are answered, each with "not run".
+	allAnsweredNotRun bool
+	// closedRow is the claim if it is closed or void.
+	closedRow *claim.Row
+	history   []porcupine.Operation
 }
 
-// checker keeps the history and the invariants.
+// checker records the history of a simulation and checks the guarantees to callers.
 type checker struct {
-	world      *world
-	subs       map[string]*subRecord
+	sim        *simulation
+	subs       map[string]*submissionRecord
 	violations []string
-	lost       int
-	completed  int
-	refused    int
-	unknown    int
+	// unansweredRequests, completed, refused and unknown count the requests of callers by their
+	// end.
+	unansweredRequests int
+	completed          int
+	refused            int
+	unknown            int
 }
 
-func newChecker(w *world) *checker { return &checker{world: w, subs: make(map[string]*subRecord)} }
+func newChecker(sim *simulation) *checker {
+	return &checker{sim: sim, subs: make(map[string]*submissionRecord)}
+}
 
-func (c *checker) violate(format string, args ...any) {
+// violationf records a violation and writes it to the trace.
+func (c *checker) violationf(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf(format, args...))
-	c.world.note("VIOLATION "+format, args...)
+	c.sim.tracef("VIOLATION "+format, args...)
 }
 
-func (c *checker) sub(name string) *subRecord {
+// record returns the history of a submission and creates it if there is none.
+func (c *checker) record(name string) *submissionRecord {
 	s := c.subs[name]
 	if s == nil {
-		s = &subRecord{starts: make(map[uint32][]*runRecord)}
+		s = &submissionRecord{starts: make(map[uint32][]*runRecord)}
 		c.subs[name] = s
 	}
 	return s
 }
 
-// submitted records a caller's request.
-func (c *checker) submitted(r *request, spec *dispatch.Request) {
-	s := c.sub(r.submission)
+// recordSubmit records a request of a caller.
+func (c *checker) recordSubmit(r *request, spec *dispatch.Request) {
+	s := c.record(r.submission)
 	s.repeatable = spec.Tasks[0].Repeatable
 	s.claimed = spec.Claimed
-	s.open++
-	s.notRunOnly = false
+	s.openRequests++
+	s.allAnsweredNotRun = false
 }
 
-// unanswered records that the entry of a request crashed.
-func (c *checker) unanswered(r *request) {
-	if r.peer != nil {
-		r.gone()
+// recordUnanswered records that the entry of a request crashed before the answer.
+func (c *checker) recordUnanswered(r *request) {
+	if r.answerPeer != nil {
+		r.failPeer()
 		return
 	}
-	c.lost++
+	c.unansweredRequests++
 }
 
-// started checks "no task of a submission starts twice".
-func (c *checker) started(e agentcore.Execution, agent string) *runRecord {
-	s := c.sub(e.ID.Submission)
-	c.world.note("start %v on %s", e.ID, agent)
+// checkStart records the start of an execution. It checks that a task which must not be repeated
+// starts once, that a task of a keyed submission never runs twice at once, and that nothing starts
+// after callers were told that it did not run.
+func (c *checker) checkStart(e agentcore.Execution, agent string) *runRecord {
+	s := c.record(e.ID.Submission)
+	c.sim.tracef("start %v on %s", e.ID, agent)
 	for _, before := range s.starts[e.ID.Index] {
 		switch {
 		case !s.repeatable:
-			c.violate("%v started twice", e.ID)
+			c.violationf("%v started twice, but must not be repeated", e.ID)
 		case s.claimed && before.running:
-			c.violate("%v started while an earlier start still runs", e.ID)
+			c.violationf("%v started while an earlier execution of the task is running", e.ID)
 		}
 	}
-	if s.notRunOnly {
-		c.violate("%v started after every caller was told that it did not run", e.ID)
+	if s.allAnsweredNotRun {
+		c.violationf("%v started after every caller got the answer that it did not run", e.ID)
 	}
-	c.afterOutcome(e, s)
-	run := &runRecord{submission: e.ID.Submission, index: e.ID.Index, at: c.world.now, running: true}
+	c.checkStartAfterOutcome(e, s)
+	run := &runRecord{submission: e.ID.Submission, index: e.ID.Index, at: c.sim.now, running: true}
 	s.starts[e.ID.Index] = append(s.starts[e.ID.Index], run)
 	return run
 }
 
-// afterOutcome checks a start against the recorded outcome. A task that the
-// outcome calls unknown may still start: its message was under way.
-func (c *checker) afterOutcome(e agentcore.Execution, s *subRecord) {
-	if s.closed == nil || s.closed.Phase != claim.Closed {
+// checkStartAfterOutcome checks a start against the recorded outcome. A task whose state in the
+// outcome is unknown may still start, since its start message may have been in transit.
+func (c *checker) checkStartAfterOutcome(e agentcore.Execution, s *submissionRecord) {
+	if s.closedRow == nil || s.closedRow.Phase != claim.Closed {
 		return
 	}
-	if o := s.closed.Outcome; o.Tasks[e.ID.Index].Ran != errkind.Unknown {
-		c.violate("%v started after the outcome recorded it as %s", e.ID, o.Tasks[e.ID.Index].Ran)
+	if o := s.closedRow.Outcome; o.Tasks[e.ID.Index].Ran != errkind.Unknown {
+		c.violationf("%v started after the outcome recorded it as %s", e.ID, o.Tasks[e.ID.Index].Ran)
 	}
 }
 
-func (c *checker) ended(run *runRecord) { run.running = false }
+func (c *checker) recordEnd(run *runRecord) { run.running = false }
 
-// written follows the claim in the table.
-func (c *checker) written(row *claim.Row) {
-	s := c.sub(row.Submission)
-	c.world.note("claim %s epoch %d phase %d owner %s/%d", row.Submission, row.Epoch, row.Phase, row.Owner.ID, row.Owner.Incarnation)
-	if s.closed != nil && s.closed.Phase == claim.Closed {
-		c.violate("%s: a recorded outcome was replaced", row.Submission)
+// checkClaimWrite records a write of a claim. It checks that a recorded outcome is not replaced and
+// that no submission is voided that has started.
+func (c *checker) checkClaimWrite(row *claim.Row) {
+	s := c.record(row.Submission)
+	c.sim.tracef("claim %s epoch %d phase %d owner %s/%d", row.Submission, row.Epoch, row.Phase, row.Owner.ID, row.Owner.Incarnation)
+	if s.closedRow != nil && s.closedRow.Phase == claim.Closed {
+		c.violationf("%s: recorded outcome was replaced", row.Submission)
 	}
-	s.closed = nil
+	s.closedRow = nil
 	if row.Phase != claim.Running {
-		s.closed = row
+		s.closedRow = row
 	}
 	if row.Phase == claim.Void {
 		for index, runs := range s.starts {
 			if len(runs) > 0 {
-				c.violate("%s/%d: voided although it started", row.Submission, index)
+				c.violationf("%s/%d: submission was voided after the task had started", row.Submission, index)
 			}
 		}
 	}
 }
 
-// readWindow bounds the time between a look at the claim and the answer.
-const readWindow = 20 * time.Millisecond
+// claimReadWindow is the longest time between the read of a claim and the answer that follows from
+// it. A start within it does not contradict the answer.
+const claimReadWindow = 20 * time.Millisecond
 
-// answered checks an answer to a caller.
-func (c *checker) answered(r *request, o *wire.Outcome) {
-	if r.peer != nil {
-		r.peer(o)
+// checkAnswer checks the answer to a request of a caller, and passes on the answer to another
+// entry.
+func (c *checker) checkAnswer(r *request, o *wire.Outcome) {
+	if r.answerPeer != nil {
+		r.answerPeer(o)
 		return
 	}
-	s := c.sub(r.submission)
-	s.open--
-	c.world.note("answer %s %s ran=%s tasks=%d %s", r.submission, o.Kind, o.Ran(), len(o.Tasks), o.Detail)
+	s := c.record(r.submission)
+	s.openRequests--
+	c.sim.tracef("answer %s %s ran=%s tasks=%d %s", r.submission, o.Kind, o.Ran(), len(o.Tasks), o.Detail)
 	s.answers = append(s.answers, o)
-	c.operation(r, s, o)
+	c.addOperation(r, s, o)
 	switch {
 	case o.Kind == errkind.OK:
 		c.completed++
-		c.whole(r, o)
-		c.recordedOnce(r.submission, s, o)
+		c.checkComplete(r, o)
+		c.checkSingleOutcome(r.submission, s, o)
 	case o.Kind == errkind.KeyConflict:
-		c.violate("%s: conflict of a request with itself", r.submission)
+		c.violationf("%s: key conflict although the request is the same", r.submission)
 	case o.Ran() == errkind.NotRun:
 		c.refused++
-		c.notRun(r, s)
-		s.notRunOnly = s.open == 0 && allNotRun(s.answers)
+		c.checkNotRun(r, s)
+		s.allAnsweredNotRun = s.openRequests == 0 && allNotRun(s.answers)
 	default:
 		c.unknown++
 		if len(o.Tasks) > 0 {
-			c.recordedOnce(r.submission, s, o)
-			c.tasksTrue(r.submission, s, o)
+			c.checkSingleOutcome(r.submission, s, o)
+			c.checkTaskStates(r.submission, s, o)
 		}
 	}
 }
 
+// allNotRun reports whether every answer says "not run".
 func allNotRun(answers []*wire.Outcome) bool {
 	for _, o := range answers {
 		if o.Ran() != errkind.NotRun {
@@ -188,66 +204,68 @@
 	return true
 }
 
-// whole checks that the answer is complete and belongs to the request.
-func (c *checker) whole(r *request, o *wire.Outcome) {
+// checkComplete checks that the answer has the result of every task of the request.
+func (c *checker) checkComplete(r *request, o *wire.Outcome) {
 	if len(o.Tasks) != r.tasks {
-		c.violate("%s: partial answer: %d of %d", r.submission, len(o.Tasks), r.tasks)
+		c.violationf("%s: answer has results of %d of %d tasks", r.submission, len(o.Tasks), r.tasks)
 		return
 	}
 	for i, t := range o.Tasks {
-		if string(t.Payload) != result(r.submission, uint32(i)) {
-			c.violate("%s/%d: answer of another request: %q", r.submission, i, t.Payload)
+		if string(t.Payload) != payloadOf(r.submission, uint32(i)) {
+			c.violationf("%s/%d: result of another task: %q", r.submission, i, t.Payload)
 		}
 	}
 }
 
-// recordedOnce checks that no two callers read two outcomes.
-func (c *checker) recordedOnce(name string, s *subRecord, o *wire.Outcome) {
+// checkSingleOutcome checks that no two callers read different outcomes of a keyed submission.
+func (c *checker) checkSingleOutcome(name string, s *submissionRecord, o *wire.Outcome) {
 	if !s.claimed {
 		return
 	}
-	if s.recorded != nil && s.recorded.Kind != o.Kind {
-		c.violate("%s: two outcomes: %s and %s", name, s.recorded.Kind, o.Kind)
+	if s.recordedOutcome != nil && s.recordedOutcome.Kind != o.Kind {
+		c.violationf("%s: callers read two outcomes: %s and %s", name, s.recordedOutcome.Kind, o.Kind)
 	}
-	s.recorded = o
+	s.recordedOutcome = o
 }
 
-// notRun checks "a refusal that says not run is true".
-func (c *checker) notRun(r *request, s *subRecord) {
+// checkNotRun checks that no task of a submission had started when the caller was told that it did
+// not run, except within claimReadWindow.
+func (c *checker) checkNotRun(r *request, s *submissionRecord) {
 	for index, runs := range s.starts {
 		for _, run := range runs {
-			if run.at.Before(c.world.now.Add(-readWindow)) {
-				c.violate("%s/%d: told not run, but it started at %v", r.submission, index, run.at.Sub(epochStart))
+			if run.at.Before(c.sim.now.Add(-claimReadWindow)) {
+				c.violationf("%s/%d: answered as not run, but started at %v", r.submission, index, run.at.Sub(epochStart))
 			}
 		}
 	}
 }
 
-// tasksTrue checks what a failed answer says of each task.
-func (c *checker) tasksTrue(name string, s *subRecord, o *wire.Outcome) {
+// checkTaskStates checks that a failed answer says "not run" only of tasks that did not start.
+func (c *checker) checkTaskStates(name string, s *submissionRecord, o *wire.Outcome) {
 	for i, t := range o.Tasks {
 		if t.Ran == errkind.NotRun && len(s.starts[uint32(i)]) > 0 {
-			c.violate("%s/%d: the failed answer says not run, but it started", name, i)
+			c.violationf("%s/%d: failed answer says not run, but the task started", name, i)
 		}
 	}
 }
 
-// finish checks progress: nothing is left open when faults have stopped.
-func (c *checker) finish() {
-	c.linearizable()
-	for _, e := range c.world.entries {
-		for _, r := range e.open {
-			if r.peer == nil {
-				c.violate("%s: a request was never answered", r.submission)
+// checkProgress checks that no request, submission or claim is open at the end of a simulation, and
+// that the histories are linearizable.
+func (c *checker) checkProgress() {
+	c.checkLinearizable()
+	for _, e := range c.sim.entries {
+		for _, r := range e.openRequests {
+			if r.answerPeer == nil {
+				c.violationf("%s: request was never answered", r.submission)
 			}
 		}
 		if n := e.core.Open(); n > 0 {
-			c.violate("%s: %d submissions never ended", e.id, n)
+			c.violationf("%s: %d submissions never ended", e.id, n)
 		}
 	}
-	for name, s := range c.world.table.rows {
+	for name, s := range c.sim.table.rows {
 		if row, _ := claim.Decode(s.data); row.Phase == claim.Running {
-			c.violate("%s: its claim is still open", name)
+			c.violationf("%s: claim is still open", name)
 		}
 	}
 }
--- a/core/protocol/doc.go
+++ b/core/protocol/doc.go
@@ -1,4 +1,3 @@
-// Package protocol holds the tests that drive the real decision code of many
-// entries and agents together, under seeded schedules of faults in virtual
-// time. It has no code of its own.
+// Package protocol holds tests that run the decision cores of several entries and agents together,
+// in virtual time and under seeded schedules of faults. It has no code of its own.
 package protocol
--- a/core/protocol/history_test.go
+++ b/core/protocol/history_test.go
@@ -7,50 +7,51 @@
 	"peridotpick.example/wire"
 )
 
-// answerOf is what an answer says of its submission, for the history.
-type answerOf struct {
-	// recorded is true if the answer is the recorded outcome of kind.
+// answerSummary is what an answer says of the outcome of its submission, and the state of
+// outcomeRegister.
+type answerSummary struct {
+	// recorded is set if the answer is a recorded outcome, of the given kind.
 	recorded bool
 	kind     errkind.Kind
-	// notRun is true if it proves that the submission did not run.
+	// notRun is set if the answer says that the submission did not run.
 	notRun bool
 }
 
-// outcomeRegister is the sequential specification of one keyed submission: its
-// outcome is set once, by whichever request, and read by all later ones. "Not
-// run" may be said only before. An unknown answer says nothing.
+// outcomeRegister is the sequential specification of a keyed submission. Any request may set its
+// outcome once; all later requests read the same outcome. An answer "not run" is valid only before
+// the outcome is set. An answer with an unknown outcome is always valid.
 var outcomeRegister = porcupine.Model{
-	Init: func() any { return answerOf{} },
+	Init: func() any { return answerSummary{} },
 	Step: func(state, _, output any) (bool, any) {
-		have, said := state.(answerOf), output.(answerOf)
+		current, answer := state.(answerSummary), output.(answerSummary)
 		switch {
-		case said.recorded && !have.recorded:
-			return true, said
-		case said.recorded:
-			return have.kind == said.kind, have
-		case said.notRun:
-			return !have.recorded, have
+		case answer.recorded && !current.recorded:
+			return true, answer
+		case answer.recorded:
+			return current.kind == answer.kind, current
+		case answer.notRun:
+			return !current.recorded, current
 		}
-		return true, have
+		return true, current
 	},
 }
 
-// operation records an answered request as an operation on its submission.
-func (c *checker) operation(r *request, s *subRecord, o *wire.Outcome) {
+// addOperation adds an answered request to the history of its submission.
+func (c *checker) addOperation(r *request, s *submissionRecord, o *wire.Outcome) {
 	s.history = append(s.history, porcupine.Operation{
-		ClientId: len(s.history), Call: r.sentAt.UnixNano(), Return: c.world.now.UnixNano(),
-		Output: answerOf{
+		ClientId: len(s.history), Call: r.sentAt.UnixNano(), Return: c.sim.now.UnixNano(),
+		Output: answerSummary{
 			recorded: o.Kind == errkind.OK || len(o.Tasks) > 0,
 			kind:     o.Kind, notRun: o.Ran() == errkind.NotRun,
 		},
 	})
 }
 
-// linearizable checks the history of each keyed submission.
-func (c *checker) linearizable() {
+// checkLinearizable checks the history of each keyed submission against outcomeRegister.
+func (c *checker) checkLinearizable() {
 	for name, s := range c.subs {
 		if s.claimed && !porcupine.CheckOperations(outcomeRegister, s.history) {
-			c.violate("%s: its answers are not linearizable", name)
+			c.violationf("%s: answers are not linearizable", name)
 		}
 	}
 }
--- a/core/protocol/simulation_test.go
+++ b/core/protocol/simulation_test.go
@@ -16,27 +16,33 @@
 	"peridotpick.example/wire"
 )
 
-// world is a deployment in virtual time: one event loop, no goroutines.
-type world struct {
-	rng     *rand.Rand
-	now     time.Time
-	queue   eventQueue
+// simulation is a deployment of entries, agents and a table service in virtual time, with a single
+// event loop and no goroutines.
+type simulation struct {
+	rng   *rand.Rand
+	now   time.Time
+	queue eventQueue
+	// seq is the last number given to an event, a link or an incarnation.
 	seq     uint64
 	entries []*simEntry
 	agents  []*simAgent
 	table   *simTable
 	links   []*simLink
 	check   *checker
-	healed  bool
-	trace   []string
+	// faultsEnded is set in the last phase of a schedule.
+	faultsEnded bool
+	// trace lists the events, to explain a violation.
+	trace []string
 }
 
+// simEvent is a function due at a time. seq orders events of the same time.
 type simEvent struct {
 	at  time.Time
 	seq uint64
 	do  func()
 }
 
+// eventQueue implements heap.Interface in the order of time.
 type eventQueue []simEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -57,56 +63,59 @@
 
 var epochStart = time.Unix(1_000_000, 0)
 
-func newWorld(seed uint64, entries, agents int) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 77)), now: epochStart}
-	w.table = &simTable{world: w, rows: make(map[string]stored)}
-	w.check = newChecker(w)
+func newSimulation(seed uint64, entries, agents int) *simulation {
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 77)), now: epochStart}
+	sim.table = &simTable{sim: sim, rows: make(map[string]storedRow)}
+	sim.check = newChecker(sim)
 	for i := range agents {
-		a := &simAgent{world: w, id: fmt.Sprintf("agent-%d", i)}
-		w.agents = append(w.agents, a)
+		a := &simAgent{sim: sim, id: fmt.Sprintf("agent-%d", i)}
+		sim.agents = append(sim.agents, a)
 		a.start()
 	}
 	for i := range entries {
-		e := &simEntry{world: w, id: fmt.Sprintf("entry-%d", i)}
-		w.entries = append(w.entries, e)
+		e := &simEntry{sim: sim, id: fmt.Sprintf("entry-%d", i)}
+		sim.entries = append(sim.entries, e)
 		e.start()
 	}
-	return w
+	return sim
 }
 
-func (w *world) note(format string, args ...any) {
-	w.trace = append(w.trace, fmt.Sprintf("%8.3f ", w.now.Sub(epochStart).Seconds())+fmt.Sprintf(format, args...))
+// tracef writes a line to the trace, with the time since the start in seconds.
+func (sim *simulation) tracef(format string, args ...any) {
+	sim.trace = append(sim.trace, fmt.Sprintf("%8.3f ", sim.now.Sub(epochStart).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// after runs do after a delay.
-func (w *world) after(d time.Duration, do func()) {
-	w.seq++
-	heap.Push(&w.queue, simEvent{w.now.Add(d), w.seq, do})
+// schedule runs do after the delay d.
+func (sim *simulation) schedule(d time.Duration, do func()) {
+	sim.seq++
+	heap.Push(&sim.queue, simEvent{sim.now.Add(d), sim.seq, do})
 }
 
-// run handles events until a time.
-func (w *world) run(until time.Time) {
-	for len(w.queue) > 0 && !w.queue[0].at.After(until) {
-		e := heap.Pop(&w.queue).(simEvent)
-		w.now = e.at
+// runUntil handles the events up to a time.
+func (sim *simulation) runUntil(until time.Time) {
+	for len(sim.queue) > 0 && !sim.queue[0].at.After(until) {
+		e := heap.Pop(&sim.queue).(simEvent)
+		sim.now = e.at
 		e.do()
 	}
-	w.now = until
+	sim.now = until
 }
 
-// delay draws a network delay.
-func (w *world) delay() time.Duration {
-	return time.Duration(200+w.rng.IntN(3000)) * time.Microsecond
+// networkDelay draws a random delay of a message, 0.2 to 3.2 ms.
+func (sim *simulation) networkDelay() time.Duration {
+	return time.Duration(200+sim.rng.IntN(3000)) * time.Microsecond
 }
 
-// process is what can be paused: its inbox waits while it is.
+// process is an operating system process that may be paused or have crashed. While it is paused,
+// its inbox collects what is delivered to it.
 type process struct {
 	alive  bool
 	paused bool
 	inbox  []func()
 }
 
-// deliver runs do in the process, now or when it resumes.
+// deliver runs do in the process, at once or when it resumes. A process that has crashed ignores
+// it.
 func (p *process) deliver(do func()) {
 	switch {
 	case !p.alive:
@@ -117,6 +126,7 @@
 	}
 }
 
+// resume ends a pause and runs what was delivered meanwhile.
 func (p *process) resume() {
 	p.paused = false
 	waiting := p.inbox
@@ -126,229 +136,243 @@
 	}
 }
 
-// simLink is a TCP connection between one entry and one agent incarnation.
+// simLink is a TCP connection between an entry incarnation and an agent incarnation.
 type simLink struct {
-	entry       *simEntry
-	entryProc   *process
-	agent       *simAgent
-	agentProc   *process
-	entryID     dispatch.LinkID
-	agentID     agentcore.LinkID
-	broken      bool
+	entry     *simEntry
+	entryProc *process
+	agent     *simAgent
+	agentProc *process
+	entryID   dispatch.LinkID
+	agentID   agentcore.LinkID
+	broken    bool
+	// lastToAgent and lastToEntry are the arrival times of the last messages, to keep their order.
 	lastToAgent time.Time
 	lastToEntry time.Time
 }
 
-// ordered returns the delay of the next message so that none overtakes.
-func ordered(w *world, last *time.Time) time.Duration {
-	at := w.now.Add(w.delay())
+// orderedDelay draws the delay of the next message such that it does not overtake the previous one.
+func orderedDelay(sim *simulation, last *time.Time) time.Duration {
+	at := sim.now.Add(sim.networkDelay())
 	if at.Before(*last) {
 		at = *last
 	}
 	*last = at
-	return at.Sub(w.now)
+	return at.Sub(sim.now)
 }
 
-// connect opens a link if both ends are alive.
-func (w *world) connect(e *simEntry, a *simAgent) {
-	if !e.proc.alive || !a.proc.alive || e.cut[a.id] {
+// connect opens a link unless it exists, an end is down or the link is cut.
+func (sim *simulation) connect(e *simEntry, a *simAgent) {
+	if !e.proc.alive || !a.proc.alive || e.cutAgents[a.id] {
 		return
 	}
-	for _, l := range w.links {
+	for _, l := range sim.links {
 		if !l.broken && l.entryProc == e.proc && l.agentProc == a.proc {
 			return
 		}
 	}
-	w.seq++
-	l := &simLink{entry: e, entryProc: e.proc, agent: a, agentProc: a.proc, entryID: dispatch.LinkID(w.seq), agentID: agentcore.LinkID(w.seq)}
-	w.links = append(w.links, l)
+	sim.seq++
+	l := &simLink{entry: e, entryProc: e.proc, agent: a, agentProc: a.proc, entryID: dispatch.LinkID(sim.seq), agentID: agentcore.LinkID(sim.seq)}
+	sim.links = append(sim.links, l)
 	info := a.core.info
-	w.after(ordered(w, &l.lastToAgent), func() {
-		l.agentProc.deliver(func() { l.agent.handle(l.agentProc, l.agent.core.LinkUp(w.now, l.agentID, e.self)) })
+	sim.schedule(orderedDelay(sim, &l.lastToAgent), func() {
+		l.agentProc.deliver(func() { l.agent.handle(l.agentProc, l.agent.core.LinkUp(sim.now, l.agentID, e.self)) })
 	})
-	w.after(ordered(w, &l.lastToEntry), func() {
+	sim.schedule(orderedDelay(sim, &l.lastToEntry), func() {
 		l.entryProc.deliver(func() {
 			if l.broken {
 				return
 			}
-			e.core.LinkUp(w.now, l.entryID, &info)
+			e.core.LinkUp(sim.now, l.entryID, &info)
 			e.flush()
 		})
 	})
 }
 
-// breakLink cuts a link: what is under way may or may not arrive, and each
-// side learns of it in its own time.
-func (w *world) breakLink(l *simLink) {
+// breakLink breaks a link. Messages in transit may or may not arrive, and each end notices the
+// break after a delay of its own.
+func (sim *simulation) breakLink(l *simLink) {
 	if l.broken {
 		return
 	}
 	l.broken = true
-	w.after(w.delay()*5, func() {
-		l.agentProc.deliver(func() { l.agent.handle(l.agentProc, l.agent.core.LinkDown(w.now, l.agentID)) })
+	sim.schedule(sim.networkDelay()*5, func() {
+		l.agentProc.deliver(func() { l.agent.handle(l.agentProc, l.agent.core.LinkDown(sim.now, l.agentID)) })
 	})
-	w.after(w.delay()*5, func() {
-		l.entryProc.deliver(func() { l.entry.core.LinkDown(w.now, l.entryID); l.entry.flush() })
+	sim.schedule(sim.networkDelay()*5, func() {
+		l.entryProc.deliver(func() { l.entry.core.LinkDown(sim.now, l.entryID); l.entry.flush() })
 	})
-	w.after(100*time.Millisecond, func() { w.reconnect(l.entry, l.agent) })
+	sim.schedule(100*time.Millisecond, func() { sim.reconnect(l.entry, l.agent) })
 }
 
-func (w *world) reconnect(e *simEntry, a *simAgent) {
-	if e.cut[a.id] {
-		w.after(200*time.Millisecond, func() { w.reconnect(e, a) })
+// reconnect opens a link again as soon as it is no longer cut.
+func (sim *simulation) reconnect(e *simEntry, a *simAgent) {
+	if e.cutAgents[a.id] {
+		sim.schedule(200*time.Millisecond, func() { sim.reconnect(e, a) })
 		return
 	}
-	w.connect(e, a)
+	sim.connect(e, a)
 }
 
-// agentWrap keeps the announced info beside the core.
-type agentWrap struct {
+// announcedCore is an agent core with the info that it announces.
+type announcedCore struct {
 	*agentcore.Core
 	info wire.AgentInfo
 }
 
-// simAgent is an agent with its backend server.
+// simAgent simulates an agent and its backend server.
 type simAgent struct {
-	world *world
-	id    string
-	proc  *process
-	core  agentWrap
+	sim  *simulation
+	id   string
+	proc *process
+	core announcedCore
 }
 
+// simSlots is the number of slots and the queue length of each agent.
 const simSlots = 2
 
+// start starts a new incarnation of the agent.
 func (a *simAgent) start() {
-	w := a.world
-	w.seq++
+	sim := a.sim
+	sim.seq++
 	a.proc = &process{alive: true}
 	info := wire.AgentInfo{
-		ID: a.id, Incarnation: w.seq, Address: a.id, Service: "s", Slots: simSlots, Queue: simSlots,
+		ID: a.id, Incarnation: sim.seq, Address: a.id, Service: "s", Slots: simSlots, Queue: simSlots,
 		Labels: map[string]string{"name": a.id},
 	}
-	a.core = agentWrap{agentcore.New(agentcore.Settings{
+	a.core = announcedCore{agentcore.New(agentcore.Settings{
 		Info: info, FenceMemory: 90 * time.Second, ResultRetention: 10 * time.Minute, ResultBytes: 1 << 20,
 	}), info}
-	for _, e := range w.entries {
-		w.after(w.delay()*10, func() { w.connect(e, a) })
+	for _, e := range sim.entries {
+		sim.schedule(sim.networkDelay()*10, func() { sim.connect(e, a) })
 	}
 }
 
-// crash ends the agent's process. What runs in the backend server goes on.
+// crash ends the process of the agent and schedules its next incarnation. Executions in the backend
+// server continue.
 func (a *simAgent) crash() {
-	w := a.world
+	sim := a.sim
 	dead := a.proc
 	id := rank.ID{Agent: a.id, Incarnation: a.core.info.Incarnation}
 	dead.alive = false
-	for _, l := range w.links {
+	for _, l := range sim.links {
 		if l.agentProc == dead {
-			w.breakLink(l)
+			sim.breakLink(l)
 		}
 	}
-	for _, e := range w.entries {
+	for _, e := range sim.entries {
 		proc := e.proc
-		w.after(w.delay()*30, func() {
+		sim.schedule(sim.networkDelay()*30, func() {
 			proc.deliver(func() {
 				if e.proc == proc {
-					e.core.AgentGone(w.now, id)
+					e.core.AgentGone(sim.now, id)
 					e.flush()
 				}
 			})
 		})
 	}
-	w.after(time.Duration(100+w.rng.IntN(2000))*time.Millisecond, a.start)
+	sim.schedule(time.Duration(100+sim.rng.IntN(2000))*time.Millisecond, a.start)
 }
 
+// handle carries out the output of the core.
 func (a *simAgent) handle(proc *process, out agentcore.Output) {
-	w := a.world
+	sim := a.sim
 	for _, send := range out.Sends {
-		w.toEntry(proc, send)
+		sim.sendToEntry(proc, send)
 	}
 	for _, e := range out.Executes {
 		a.execute(proc, e)
 	}
 }
 
-func (w *world) toEntry(proc *process, send agentcore.Send) {
-	for _, l := range w.links {
+// sendToEntry sends a message of an agent; it may be lost if the link is broken.
+func (sim *simulation) sendToEntry(proc *process, send agentcore.Send) {
+	for _, l := range sim.links {
 		if l.agentProc != proc || l.agentID != send.Link {
 			continue
 		}
 		msg := send.Msg
-		if l.broken && w.rng.IntN(2) == 0 {
+		if l.broken && sim.rng.IntN(2) == 0 {
 			return
 		}
-		w.after(ordered(w, &l.lastToEntry), func() {
-			if l.broken && w.rng.IntN(2) == 0 {
+		sim.schedule(orderedDelay(sim, &l.lastToEntry), func() {
+			if l.broken && sim.rng.IntN(2) == 0 {
 				return
 			}
-			l.entryProc.deliver(func() { l.entry.core.Receive(w.now, l.entryID, msg); l.entry.flush() })
+			l.entryProc.deliver(func() { l.entry.core.Receive(sim.now, l.entryID, msg); l.entry.flush() })
 		})
 		return
 	}
 }
 
-func (w *world) toAgent(e *simEntry, send dispatch.Send) {
-	for _, l := range w.links {
+// sendToAgent sends a message of an entry; it may be lost if the link is broken.
+func (sim *simulation) sendToAgent(e *simEntry, send dispatch.Send) {
+	for _, l := range sim.links {
 		if l.entryProc != e.proc || l.entryID != send.Link {
 			continue
 		}
 		msg := send.Msg
-		// Bytes already buffered may still be read after the break.
-		w.after(ordered(w, &l.lastToAgent), func() {
-			if l.broken && w.rng.IntN(2) == 0 {
+		// Buffered bytes may be read after the link is broken.
+		sim.schedule(orderedDelay(sim, &l.lastToAgent), func() {
+			if l.broken && sim.rng.IntN(2) == 0 {
 				return
 			}
-			l.agentProc.deliver(func() { l.agent.handle(l.agentProc, l.agent.core.Receive(w.now, l.agentID, msg)) })
+			l.agentProc.deliver(func() { l.agent.handle(l.agentProc, l.agent.core.Receive(sim.now, l.agentID, msg)) })
 		})
 		return
 	}
 }
 
-// execute runs an attempt in the backend server.
+// execute runs an attempt in the backend server and reports its end to the core.
 func (a *simAgent) execute(proc *process, e agentcore.Execution) {
-	w := a.world
-	run := time.Duration(20+w.rng.IntN(400)) * time.Millisecond
-	started := w.check.started(e, a.id)
-	done := agentcore.Completion{Kind: errkind.OK, Payload: []byte(result(e.ID.Submission, e.ID.Index)), RunTime: run}
-	if !w.healed && w.rng.IntN(40) == 0 {
+	sim := a.sim
+	run := time.Duration(20+sim.rng.IntN(400)) * time.Millisecond
+	started := sim.check.checkStart(e, a.id)
+	done := agentcore.Completion{Kind: errkind.OK, Payload: []byte(payloadOf(e.ID.Submission, e.ID.Index)), RunTime: run}
+	if !sim.faultsEnded && sim.rng.IntN(40) == 0 {
 		done = agentcore.Completion{Kind: errkind.TaskFailed, RunTime: run}
 	}
 	core := a.core
-	w.after(run, func() {
-		w.check.ended(started)
-		proc.deliver(func() { a.handle(proc, core.Finished(w.now, e.ID, done)) })
+	sim.schedule(run, func() {
+		sim.check.recordEnd(started)
+		proc.deliver(func() { a.handle(proc, core.Finished(sim.now, e.ID, done)) })
 	})
 }
 
-func result(submission string, index uint32) string { return fmt.Sprintf("%s/%d", submission, index) }
+// payloadOf returns the result payload of a task.
+func payloadOf(submission string, index uint32) string {
+	return fmt.Sprintf("%s/%d", submission, index)
+}
 
-// simEntry is an entry with its claim writer.
+// simEntry simulates an entry with its group commit of claims.
 type simEntry struct {
-	world   *world
+	sim     *simulation
 	id      string
 	proc    *process
 	self    wire.EntryInfo
 	core    *dispatch.Core
 	grouper *group.Grouper
-	cut     map[string]bool
-	nextReq uint64
-	open    map[uint64]*request
+	// cutAgents are the agents, by ID, to which the entry cannot connect at present.
+	cutAgents map[string]bool
+	nextReq   uint64
+	// openRequests are the unanswered requests, by ID.
+	openRequests map[uint64]*request
 }
 
+// start starts a new incarnation of the entry.
 func (e *simEntry) start() {
-	w := e.world
-	w.seq++
+	sim := e.sim
+	sim.seq++
 	e.proc = &process{alive: true}
-	e.self = wire.EntryInfo{ID: e.id, Incarnation: w.seq, Address: e.id}
+	e.self = wire.EntryInfo{ID: e.id, Incarnation: sim.seq, Address: e.id}
 	settings := dispatch.DefaultSettings()
 	settings.HedgeShare = 0.05
-	e.core = dispatch.New(settings, e.self, rand.New(rand.NewPCG(w.seq, 3)))
-	e.core.SetLease(w.now.Add(time.Hour))
+	e.core = dispatch.New(settings, e.self, rand.New(rand.NewPCG(sim.seq, 3)))
+	e.core.SetLease(sim.now.Add(time.Hour))
 	e.grouper = group.New(group.DefaultParams())
-	e.cut = make(map[string]bool)
-	e.open = make(map[uint64]*request)
-	for _, a := range w.agents {
-		w.after(w.delay()*10, func() { w.connect(e, a) })
+	e.cutAgents = make(map[string]bool)
+	e.openRequests = make(map[uint64]*request)
+	for _, a := range sim.agents {
+		sim.schedule(sim.networkDelay()*10, func() { sim.connect(e, a) })
 	}
 	proc := e.proc
 	var tick func()
@@ -357,7 +381,7 @@
 			return
 		}
 		proc.deliver(e.flush)
-		w.after(10*time.Millisecond, tick)
+		sim.schedule(10*time.Millisecond, tick)
 	}
 	grouper := e.grouper
 	var poll func()
@@ -365,99 +389,100 @@
 		if !proc.alive {
 			return
 		}
-		proc.deliver(func() { grouper.Reachable(!w.table.down) })
-		w.after(500*time.Millisecond, poll)
+		proc.deliver(func() { grouper.Reachable(!sim.table.down) })
+		sim.schedule(500*time.Millisecond, poll)
 	}
-	w.after(500*time.Millisecond, poll)
-	w.after(time.Millisecond, tick)
+	sim.schedule(500*time.Millisecond, poll)
+	sim.schedule(time.Millisecond, tick)
 }
 
-// crash ends the entry's process; a new incarnation follows.
+// crash ends the process of the entry and schedules its next incarnation.
 func (e *simEntry) crash() {
-	w := e.world
+	sim := e.sim
 	e.proc.alive = false
-	for _, l := range w.links {
+	for _, l := range sim.links {
 		if l.entryProc == e.proc {
-			w.breakLink(l)
+			sim.breakLink(l)
 		}
 	}
-	for _, r := range e.open {
-		w.check.unanswered(r)
+	for _, r := range e.openRequests {
+		sim.check.recordUnanswered(r)
 	}
-	w.after(time.Duration(50+w.rng.IntN(3000))*time.Millisecond, e.start)
+	sim.schedule(time.Duration(50+sim.rng.IntN(3000))*time.Millisecond, e.start)
 }
 
-// flush lets the core act and carries its output out.
+// flush lets the core act and carries out its output.
 func (e *simEntry) flush() {
-	w := e.world
-	out := e.core.Flush(w.now)
+	sim := e.sim
+	out := e.core.Flush(sim.now)
 	for _, send := range out.Sends {
-		w.toAgent(e, send)
+		sim.sendToAgent(e, send)
 	}
 	for _, write := range out.Writes {
 		e.grouper.Add(write)
 	}
 	for _, submission := range out.Reads {
-		w.table.read(e, submission)
+		sim.table.read(e, submission)
 	}
 	for _, ask := range out.Awaits {
-		e.ask(ask)
+		e.askOwner(ask)
 	}
 	for _, answer := range out.Answers {
-		if r := e.open[answer.Request]; r != nil {
-			delete(e.open, answer.Request)
-			w.check.answered(r, answer.Outcome)
+		if r := e.openRequests[answer.Request]; r != nil {
+			delete(e.openRequests, answer.Request)
+			sim.check.checkAnswer(r, answer.Outcome)
 		}
 	}
 	for _, dial := range out.Dials {
 		e.dial(dial)
 	}
-	e.pump()
+	e.commitGroups()
 }
 
-// pump sends what the grouper allows and delivers fates.
-func (e *simEntry) pump() {
+// commitGroups sends the groups of writes that are due, and passes the results of writes to the
+// core.
+func (e *simEntry) commitGroups() {
 	for {
-		g, _ := e.grouper.Next(e.world.now)
+		g, _ := e.grouper.Next(e.sim.now)
 		if g == nil {
 			break
 		}
-		e.world.table.commit(e, g)
+		e.sim.table.commit(e, g)
 	}
 	results := e.grouper.Results()
 	for _, r := range results {
-		e.core.ClaimWritten(e.world.now, r)
+		e.core.ClaimWritten(e.sim.now, r)
 	}
 	if len(results) > 0 {
 		e.flush()
 	}
 }
 
-// dial reports an agent incarnation that is gone.
+// dial tries to reach an agent incarnation and reports to the core if it has ended.
 func (e *simEntry) dial(d dispatch.Dial) {
-	w := e.world
+	sim := e.sim
 	proc := e.proc
-	w.after(w.delay()*3, func() {
-		for _, a := range w.agents {
+	sim.schedule(sim.networkDelay()*3, func() {
+		for _, a := range sim.agents {
 			if a.id == d.ID.Agent && a.proc.alive && a.core.info.Incarnation == d.ID.Incarnation {
 				return // a link comes up by itself
 			}
 		}
-		proc.deliver(func() { e.core.AgentGone(w.now, d.ID); e.flush() })
+		proc.deliver(func() { e.core.AgentGone(sim.now, d.ID); e.flush() })
 	})
 }
 
-// ask carries a question to the owner of a submission.
-func (e *simEntry) ask(ask dispatch.PeerAwait) {
-	w := e.world
+// askOwner sends a question about a submission to its owner.
+func (e *simEntry) askOwner(ask dispatch.PeerAwait) {
+	sim := e.sim
 	proc := e.proc
 	back := func(fate dispatch.PeerFate, reply *wire.AwaitReply) {
-		w.after(w.delay(), func() {
-			proc.deliver(func() { e.core.PeerReplied(w.now, ask.Submission, ask.Owner.Incarnation, fate, reply); e.flush() })
+		sim.schedule(sim.networkDelay(), func() {
+			proc.deliver(func() { e.core.PeerReplied(sim.now, ask.Submission, ask.Owner.Incarnation, fate, reply); e.flush() })
 		})
 	}
 	var owner *simEntry
-	for _, other := range w.entries {
+	for _, other := range sim.entries {
 		if other.proc.alive && other.self.Incarnation == ask.Owner.Incarnation {
 			owner = other
 		}
@@ -467,15 +492,16 @@
 		return
 	}
 	if owner.proc.paused {
-		w.after(500*time.Millisecond, func() { back(dispatch.PeerSilent, nil) })
+		sim.schedule(500*time.Millisecond, func() { back(dispatch.PeerSilent, nil) })
 		return
 	}
-	w.after(w.delay(), func() { owner.await(ask, back) })
+	sim.schedule(sim.networkDelay(), func() { owner.serveAwait(ask, back) })
 }
 
-// await serves another entry's question.
-func (e *simEntry) await(ask dispatch.PeerAwait, back func(dispatch.PeerFate, *wire.AwaitReply)) {
-	w := e.world
+// serveAwait answers a question of another entry when the submission ends, after two seconds at the
+// latest.
+func (e *simEntry) serveAwait(ask dispatch.PeerAwait, back func(dispatch.PeerFate, *wire.AwaitReply)) {
+	sim := e.sim
 	if !e.proc.alive {
 		back(dispatch.PeerRefused, nil)
 		return
@@ -489,45 +515,47 @@
 	proc := e.proc
 	r := &request{
 		submission: ask.Submission,
-		peer:       func(o *wire.Outcome) { back(dispatch.PeerAnswered, &wire.AwaitReply{Known: true, Outcome: o}) },
-		gone:       func() { back(dispatch.PeerSilent, nil) },
+		answerPeer: func(o *wire.Outcome) { back(dispatch.PeerAnswered, &wire.AwaitReply{Known: true, Outcome: o}) },
+		failPeer:   func() { back(dispatch.PeerSilent, nil) },
 	}
-	e.open[id] = r
-	w.after(2*time.Second, func() {
-		if e.open[id] == nil || e.proc != proc {
+	e.openRequests[id] = r
+	sim.schedule(2*time.Second, func() {
+		if e.openRequests[id] == nil || e.proc != proc {
 			return
 		}
-		delete(e.open, id)
+		delete(e.openRequests, id)
 		proc.deliver(func() { e.core.Unwatch(ask.Submission, id) })
 		back(dispatch.PeerAnswered, &wire.AwaitReply{Known: true})
 	})
 	if ask.Cancel {
-		e.core.Cancel(w.now, ask.Submission)
+		e.core.Cancel(sim.now, ask.Submission)
 	}
 	e.flush()
 }
 
-// sweep lets live entries resume what lost ones left.
-func (w *world) sweep() {
-	names := make([]string, 0, len(w.table.rows))
-	for name := range w.table.rows {
+// resumeLostSubmissions has a random entry resume each submission whose owner has ended and whose
+// deadline has passed. It repeats every second.
+func (sim *simulation) resumeLostSubmissions() {
+	names := make([]string, 0, len(sim.table.rows))
+	for name := range sim.table.rows {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		s := w.table.rows[name]
+		s := sim.table.rows[name]
 		row, _ := claim.Decode(s.data)
-		if row.Phase != claim.Running || w.ownerAlive(row) || w.now.Before(row.Deadline) {
+		if row.Phase != claim.Running || sim.isOwnerAlive(row) || sim.now.Before(row.Deadline) {
 			continue
 		}
-		e := w.entries[w.rng.IntN(len(w.entries))]
-		e.proc.deliver(func() { e.core.Resume(w.now, row, s.version, nil); e.flush() })
+		e := sim.entries[sim.rng.IntN(len(sim.entries))]
+		e.proc.deliver(func() { e.core.Resume(sim.now, row, s.version, nil); e.flush() })
 	}
-	w.after(time.Second, w.sweep)
+	sim.schedule(time.Second, sim.resumeLostSubmissions)
 }
 
-func (w *world) ownerAlive(row *claim.Row) bool {
-	for _, e := range w.entries {
+// isOwnerAlive reports whether the owner incarnation of a claim is running.
+func (sim *simulation) isOwnerAlive(row *claim.Row) bool {
+	for _, e := range sim.entries {
 		if e.proc.alive && e.self.Incarnation == row.Owner.Incarnation {
 			return true
 		}
--- a/core/protocol/table_test.go
+++ b/core/protocol/table_test.go
@@ -7,26 +7,30 @@
 	"peridotpick.example/core/group"
 )
 
-// simTable is the table service with lost, late and refused requests.
+// simTable simulates the table service, with requests and answers that are lost or late, and
+// outages.
 type simTable struct {
-	world   *world
-	rows    map[string]stored
+	sim     *simulation
+	rows    map[string]storedRow
 	version uint64
 	down    bool
-	// lossy is the chance in percent that a request or an answer is lost.
-	lossy int
+	// lossPercent is the probability in percent that a request or an answer is lost, and that a
+	// request takes effect late.
+	lossPercent int
 }
 
-type stored struct {
+// storedRow is an encoded claim with its version.
+type storedRow struct {
 	data    []byte
 	version uint64
 }
 
+// tableTimeout is the time after which a transaction without an answer is reported as lost.
 const tableTimeout = 400 * time.Millisecond
 
-// commit applies a transaction after a delay, and answers after another.
+// commit applies a transaction after a delay and reports the result to e after another one.
 func (t *simTable) commit(e *simEntry, g *group.Group) {
-	w := t.world
+	sim := t.sim
 	proc, grouper := e.proc, e.grouper
 	finished := false
 	done := func(fate group.Fate, version uint64, conflicts []group.Conflict) {
@@ -35,31 +39,32 @@
 				return
 			}
 			finished = true
-			grouper.Done(w.now, g.ID, fate, version, conflicts)
+			grouper.Done(sim.now, g.ID, fate, version, conflicts)
 			e.flush()
 		})
 	}
-	w.after(tableTimeout, func() { done(group.Lost, 0, nil) })
+	sim.schedule(tableTimeout, func() { done(group.Lost, 0, nil) })
 	if t.down {
-		w.after(w.delay(), func() { done(group.Refused, 0, nil) })
+		sim.schedule(sim.networkDelay(), func() { done(group.Refused, 0, nil) })
 		return
 	}
-	if w.rng.IntN(100) < t.lossy {
+	if sim.rng.IntN(100) < t.lossPercent {
 		return // the request is lost
 	}
-	lag := 5*time.Millisecond + w.delay()
-	if w.rng.IntN(100) < t.lossy {
-		lag += time.Duration(w.rng.IntN(1000)) * time.Millisecond // may take effect after the caller gave up
+	lag := 5*time.Millisecond + sim.networkDelay()
+	if sim.rng.IntN(100) < t.lossPercent {
+		lag += time.Duration(sim.rng.IntN(1000)) * time.Millisecond // may take effect after the timeout
 	}
-	lost := w.rng.IntN(100) < t.lossy
-	w.after(lag, func() {
+	lost := sim.rng.IntN(100) < t.lossPercent
+	sim.schedule(lag, func() {
 		fate, version, conflicts := t.apply(g)
 		if !lost {
-			w.after(w.delay(), func() { done(fate, version, conflicts) })
+			sim.schedule(sim.networkDelay(), func() { done(fate, version, conflicts) })
 		}
 	})
 }
 
+// apply applies a transaction, or none of its writes if one conflicts.
 func (t *simTable) apply(g *group.Group) (group.Fate, uint64, []group.Conflict) {
 	var conflicts []group.Conflict
 	for i, write := range g.Writes {
@@ -78,25 +83,25 @@
 	t.version++
 	for _, write := range g.Writes {
 		data, _ := write.Row.Encode()
-		t.rows[write.Row.Submission] = stored{data, t.version}
-		t.world.check.written(write.Row)
+		t.rows[write.Row.Submission] = storedRow{data, t.version}
+		t.sim.check.checkClaimWrite(write.Row)
 	}
 	return group.Applied, t.version, nil
 }
 
-// read looks a claim up for an entry.
+// read reads a claim for an entry. It fails in an outage or when the request is lost.
 func (t *simTable) read(e *simEntry, submission string) {
-	w := t.world
+	sim := t.sim
 	proc := e.proc
-	known := !t.down && w.rng.IntN(100) >= t.lossy
-	w.after(w.delay(), func() {
+	known := !t.down && sim.rng.IntN(100) >= t.lossPercent
+	sim.schedule(sim.networkDelay(), func() {
 		s, ok := t.rows[submission]
 		var row *claim.Row
 		if ok {
 			row, _ = claim.Decode(s.data)
 		}
-		w.after(w.delay(), func() {
-			proc.deliver(func() { e.core.ClaimRead(w.now, submission, known, row, s.version); e.flush() })
+		sim.schedule(sim.networkDelay(), func() {
+			proc.deliver(func() { e.core.ClaimRead(sim.now, submission, known, row, s.version); e.flush() })
 		})
 	})
 }
