--- a/core/agentcore/core.go
+++ b/core/agentcore/core.go
@@ -283,9 +283,9 @@
 	return wire.Load{Running: c.running, Queued: c.queue.Len()}
 }
 
-// Held returns the number of submissions that are remembered, tombstones included, and the payload
-// bytes of retained results.
-func (c *Core) Held() (submissions, bytes int) { return len(c.submissions), c.resultBytes }
+// Retained returns the number of submissions that are remembered, tombstones included, and the
+// payload bytes of retained results.
+func (c *Core) Retained() (submissions, bytes int) { return len(c.submissions), c.resultBytes }
 
 // ConfigVersion returns the highest configuration version received from any entry.
 func (c *Core) ConfigVersion() uint64 { return c.configVersion }
--- a/core/agentcore/core_test.go
+++ b/core/agentcore/core_test.go
@@ -90,7 +90,7 @@
 	c.Receive(start, 1, startBatch("s", 1, 0, 0))
 	c.Finished(start, ExecID{"s", 0, 1}, Completion{Payload: []byte("result")})
 	c.Receive(start, 1, &wire.ToAgent{Acks: []wire.Ack{{Submission: "s", Epoch: 1}}})
-	_, retained := c.Held()
+	_, retained := c.Retained()
 	is.Equal(retained, 0)
 	is.Equal(resultsOf(c.Receive(start, 1, startBatch("s", 1, 0, 0)))[0].Kind, errkind.Fenced)
 	// A voided submission may be claimed and sent again with the next epoch.
@@ -98,7 +98,7 @@
 	c.Finished(start, ExecID{"s", 0, 1}, Completion{})
 	c.Receive(start, 1, &wire.ToAgent{Acks: []wire.Ack{{Submission: "s", Epoch: 2}}})
 	c.Tick(start.Add(2 * time.Minute))
-	held, _ := c.Held()
+	held, _ := c.Retained()
 	is.Equal(held, 0)
 }
 
--- a/core/protocol/simulation_test.go
+++ b/core/protocol/simulation_test.go
@@ -476,9 +476,9 @@
 func (e *simEntry) askOwner(ask dispatch.PeerAwait) {
 	sim := e.sim
 	proc := e.proc
-	back := func(fate dispatch.PeerFate, reply *wire.AwaitReply) {
+	respond := func(status dispatch.PeerFate, reply *wire.AwaitReply) {
 		sim.schedule(sim.networkDelay(), func() {
-			proc.deliver(func() { e.core.PeerReplied(sim.now, ask.Submission, ask.Owner.Incarnation, fate, reply); e.flush() })
+			proc.deliver(func() { e.core.PeerReplied(sim.now, ask.Submission, ask.Owner.Incarnation, status, reply); e.flush() })
 		})
 	}
 	var owner *simEntry
@@ -488,35 +488,35 @@
 		}
 	}
 	if owner == nil {
-		back(dispatch.PeerRefused, nil)
+		respond(dispatch.PeerRefused, nil)
 		return
 	}
 	if owner.proc.paused {
-		sim.schedule(500*time.Millisecond, func() { back(dispatch.PeerSilent, nil) })
+		sim.schedule(500*time.Millisecond, func() { respond(dispatch.PeerSilent, nil) })
 		return
 	}
-	sim.schedule(sim.networkDelay(), func() { owner.serveAwait(ask, back) })
+	sim.schedule(sim.networkDelay(), func() { owner.serveAwait(ask, respond) })
 }
 
 // serveAwait answers a question of another entry when the submission ends, after two seconds at the
 // latest.
-func (e *simEntry) serveAwait(ask dispatch.PeerAwait, back func(dispatch.PeerFate, *wire.AwaitReply)) {
+func (e *simEntry) serveAwait(ask dispatch.PeerAwait, respond func(dispatch.PeerFate, *wire.AwaitReply)) {
 	sim := e.sim
 	if !e.proc.alive {
-		back(dispatch.PeerRefused, nil)
+		respond(dispatch.PeerRefused, nil)
 		return
 	}
 	e.nextReq++
 	id := e.nextReq
 	if !e.core.Watch(ask.Submission, id) {
-		back(dispatch.PeerAnswered, &wire.AwaitReply{})
+		respond(dispatch.PeerAnswered, &wire.AwaitReply{})
 		return
 	}
 	proc := e.proc
 	r := &request{
 		submission: ask.Submission,
-		answerPeer: func(o *wire.Outcome) { back(dispatch.PeerAnswered, &wire.AwaitReply{Known: true, Outcome: o}) },
-		failPeer:   func() { back(dispatch.PeerSilent, nil) },
+		answerPeer: func(o *wire.Outcome) { respond(dispatch.PeerAnswered, &wire.AwaitReply{Known: true, Outcome: o}) },
+		failPeer:   func() { respond(dispatch.PeerSilent, nil) },
 	}
 	e.openRequests[id] = r
 	sim.schedule(2*time.Second, func() {
@@ -525,7 +525,7 @@
 		}
 		delete(e.openRequests, id)
 		proc.deliver(func() { e.core.Unwatch(ask.Submission, id) })
-		back(dispatch.PeerAnswered, &wire.AwaitReply{Known: true})
+		respond(dispatch.PeerAnswered, &wire.AwaitReply{Known: true})
 	})
 	if ask.Cancel {
 		e.core.Cancel(sim.now, ask.Submission)
--- a/core/protocol/table_test.go
+++ b/core/protocol/table_test.go
@@ -33,13 +33,13 @@
 	sim := t.sim
 	proc, grouper := e.proc, e.grouper
 	finished := false
-	done := func(fate group.Fate, version uint64, conflicts []group.Conflict) {
+	done := func(status group.Fate, version uint64, conflicts []group.Conflict) {
 		proc.deliver(func() {
 			if finished {
 				return
 			}
 			finished = true
-			grouper.Done(sim.now, g.ID, fate, version, conflicts)
+			grouper.Done(sim.now, g.ID, status, version, conflicts)
 			e.flush()
 		})
 	}
@@ -57,9 +57,9 @@
 	}
 	lost := sim.rng.IntN(100) < t.lossPercent
 	sim.schedule(lag, func() {
-		fate, version, conflicts := t.apply(g)
+		status, version, conflicts := t.apply(g)
 		if !lost {
-			sim.schedule(sim.networkDelay(), func() { done(fate, version, conflicts) })
+			sim.schedule(sim.networkDelay(), func() { done(status, version, conflicts) })
 		}
 	})
 }
--- a/core/rank/rank.go
+++ b/core/rank/rank.go
@@ -163,13 +163,13 @@
 		p.ejected--
 	}
 	delete(p.agents, id)
-	kept := make([]*Agent, 0, len(p.order))
+	remaining := make([]*Agent, 0, len(p.order))
 	for _, a := range p.order {
 		if a.ID != id {
-			kept = append(kept, a)
+			remaining = append(remaining, a)
 		}
 	}
-	p.order = kept
+	p.order = remaining
 	p.generation++
 	clear(p.feasibleCache)
 }
@@ -240,8 +240,8 @@
 	Finish, RunnerUpFinish time.Duration
 }
 
-// Pick chooses an agent for a task. Choice.Agent is nil if every feasible agent is full, ejected,
-// leaving, without a link, in a drained data centre or in ask.Avoid.
+// Pick chooses an agent for a task. Choice.Agent is nil if none of the agents compared can take the
+// task: each is full, ejected, leaving, without a link, in a drained data centre or in ask.Avoid.
 func (p *Pool) Pick(now time.Time, ask *Ask) Choice {
 	return p.pickFrom(now, p.Feasible(ask.Requirement), ask)
 }
