--- a/service/entry/admin.go
+++ b/service/entry/admin.go
@@ -17,11 +17,11 @@
 	"peridotpick.example/service/confwatch"
 )
 
-// getConfig answers with the version in force in the table service.
+// getConfig answers with the configuration version in force according to the table service.
 func (e *Entry) getConfig(ctx *fasthttp.RequestCtx, _ config.Identity) {
-	version, _, err := e.confs.Current(e.work)
+	version, _, err := e.configStore.Current(e.work)
 	if err != nil {
-		writeError(ctx, unavailable("the configuration could not be read"))
+		writeError(ctx, storeUnavailable("the configuration could not be read"))
 		return
 	}
 	if version == nil {
@@ -31,20 +31,23 @@
 	writeVersion(ctx, version)
 }
 
-func unavailable(detail string) error {
+// storeUnavailable returns a store-unavailable error that asks the caller to retry after a second.
+func storeUnavailable(detail string) error {
 	return &errkind.Error{Kind: errkind.StoreUnavailable, Detail: detail, RetryAfter: time.Second}
 }
 
+// writeVersion answers with a configuration version and its entity tag.
 func writeVersion(ctx *fasthttp.RequestCtx, v *config.Version) {
 	ctx.Response.Header.Set(fasthttp.HeaderETag, etag(v.Number))
 	writeJSON(ctx, fasthttp.StatusOK, v)
 }
 
-// etag is the entity tag of a version (RFC 9110).
+// etag returns the entity tag of a configuration version (RFC 9110).
 func etag(number uint64) string { return `"` + strconv.FormatUint(number, 10) + `"` }
 
-// baseOf returns the version that a change replaces, from If-Match.
-func baseOf(ctx *fasthttp.RequestCtx) (uint64, error) {
+// baseVersion returns the number of the version that a change replaces, from the If-Match header;
+// 0 means that no configuration exists yet.
+func baseVersion(ctx *fasthttp.RequestCtx) (uint64, error) {
 	text := string(ctx.Request.Header.Peek(fasthttp.HeaderIfMatch))
 	number, err := strconv.ParseUint(strings.Trim(text, `"`), 10, 64)
 	if err != nil {
@@ -53,16 +56,18 @@
 	return number, nil
 }
 
-// configConflict is the answer to an operator who lost a race.
+// configConflict is the answer to an operator whose change was based on a version that is no longer
+// in force.
 type configConflict struct {
 	problem
 	// Winner is the version in force.
 	Winner *config.Version `json:"winner"`
 }
 
-// putConfig replaces the configuration as a whole.
-func (e *Entry) putConfig(ctx *fasthttp.RequestCtx, who config.Identity) {
-	base, err := baseOf(ctx)
+// putConfig replaces the whole configuration. If another change was accepted first, it answers
+// with the config-conflict error and the version in force.
+func (e *Entry) putConfig(ctx *fasthttp.RequestCtx, identity config.Identity) {
+	base, err := baseVersion(ctx)
 	if err != nil {
 		writeError(ctx, err)
 		return
@@ -72,34 +77,35 @@
 		writeError(ctx, err)
 		return
 	}
-	version, err := e.confs.Put(e.work, base, who.Name, time.Now().UTC(), document)
-	var lost *confwatch.Conflict
+	version, err := e.configStore.Put(e.work, base, identity.Name, time.Now().UTC(), document)
+	var conflict *confwatch.Conflict
 	switch {
-	case errors.As(err, &lost):
-		row := errkind.Of(errkind.ConfigConflict)
-		ctx.Response.Header.Set(fasthttp.HeaderETag, etag(lost.Winner.Number))
-		writeJSON(ctx, row.Status, configConflict{
-			problem: problem{Type: typePrefix + row.Name, Title: row.Title, Status: row.Status, Detail: lost.Error(), Kind: row.Name, Ran: row.Ran.String()},
-			Winner:  lost.Winner,
+	case errors.As(err, &conflict):
+		info := errkind.Of(errkind.ConfigConflict)
+		ctx.Response.Header.Set(fasthttp.HeaderETag, etag(conflict.Winner.Number))
+		writeJSON(ctx, info.Status, configConflict{
+			problem: problem{Type: typePrefix + info.Name, Title: info.Title, Status: info.Status, Detail: conflict.Error(), Kind: info.Name, Ran: info.Ran.String()},
+			Winner:  conflict.Winner,
 		})
 	case err != nil:
 		writeError(ctx, err)
 	default:
-		e.log.Info().Uint64("version", version.Number).Str("author", who.Name).Msg("entry: configuration accepted")
+		e.log.Info().Uint64("version", version.Number).Str("author", identity.Name).Msg("entry: configuration accepted")
 		writeVersion(ctx, version)
 	}
 }
 
-// readDocument returns a configuration that passed all checks.
-func readDocument(ctx *fasthttp.RequestCtx, most int) ([]byte, error) {
+// readDocument returns the configuration document of the request after it has passed all checks.
+// maxBytes bounds its size.
+func readDocument(ctx *fasthttp.RequestCtx, maxBytes int) ([]byte, error) {
 	body := append([]byte(nil), ctx.PostBody()...)
-	if len(body) > most {
+	if len(body) > maxBytes {
 		return nil, errkind.NewField(errkind.TooLarge, "body", "the document exceeds maxBody")
 	}
 	_, err := config.Parse(body)
-	var mistakes settings.Problems
-	if errors.As(err, &mistakes) {
-		return nil, mistakes.Kind()
+	var problems settings.Problems
+	if errors.As(err, &problems) {
+		return nil, problems.Kind()
 	}
 	if err != nil {
 		return nil, errkind.New(errkind.InvalidRequest, err.Error())
@@ -107,7 +113,7 @@
 	return body, nil
 }
 
-// checkConfig checks a document without putting it in force.
+// checkConfig validates a configuration document without putting it in force.
 func (e *Entry) checkConfig(ctx *fasthttp.RequestCtx, _ config.Identity) {
 	if _, err := readDocument(ctx, e.settings.Limits.MaxBody); err != nil {
 		writeError(ctx, err)
@@ -116,27 +122,29 @@
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-// getHistory lists versions after ?after=, oldest first: who changed what.
+// getHistory lists up to defaultListLimit configuration versions with numbers above ?after=, oldest
+// first, with their authors.
 func (e *Entry) getHistory(ctx *fasthttp.RequestCtx, _ config.Identity) {
 	after := ctx.QueryArgs().GetUintOrZero("after")
-	versions, err := e.confs.History(e.work, uint64(after), defaultListLimit)
+	versions, err := e.configStore.History(e.work, uint64(after), defaultListLimit)
 	if err != nil {
-		writeError(ctx, unavailable("the history could not be read"))
+		writeError(ctx, storeUnavailable("the history could not be read"))
 		return
 	}
 	writeJSON(ctx, fasthttp.StatusOK, versions)
 }
 
+// getVersion answers with one version of the configuration history.
 func (e *Entry) getVersion(ctx *fasthttp.RequestCtx, _ config.Identity) {
 	number, err := strconv.ParseUint(ctx.UserValue("version").(string), 10, 64)
 	if err != nil {
 		writeError(ctx, errkind.NewField(errkind.InvalidRequest, "version", "a number is required"))
 		return
 	}
-	version, err := e.confs.Version(e.work, number)
+	version, err := e.configStore.Version(e.work, number)
 	switch {
 	case err != nil:
-		writeError(ctx, unavailable("the version could not be read"))
+		writeError(ctx, storeUnavailable("the version could not be read"))
 	case version == nil:
 		writeError(ctx, errkind.New(errkind.NotFound, "no such version"))
 	default:
@@ -146,39 +154,42 @@
 
 // WorkerView is a backend server and its worker as this entry sees them.
 type WorkerView struct {
-	Agent      string  `json:"agent"`
-	Worker     string  `json:"worker"`
-	Service    string  `json:"service"`
-	DataCentre string  `json:"dataCentre"`
-	Rack       string  `json:"rack"`
-	Slots      int     `json:"slots"`
-	Load       float64 `json:"load"`
-	// Slowness is the learned ratio of run times to those elsewhere.
+	Agent      string `json:"agent"`
+	Worker     string `json:"worker"`
+	Service    string `json:"service"`
+	DataCentre string `json:"dataCentre"`
+	Rack       string `json:"rack"`
+	Slots      int    `json:"slots"`
+	// Load is the estimated number of tasks at the agent, those of other entries included.
+	Load float64 `json:"load"`
+	// Slowness is the learned ratio of run times here to those of the same kinds elsewhere.
 	Slowness float64 `json:"slowness"`
-	// State is up, down, leaving, ejected or asleep.
+	// State is up, down, leaving or ejected.
 	State string `json:"state"`
 }
 
-// WorkersReply is the answer to a question for the workers.
+// WorkersReply is the answer to a request for the list of workers.
 type WorkersReply struct {
 	Backends []WorkerView `json:"backends"`
-	// Asleep are the names of sleeping or waking workers.
+	// Asleep are the IDs of workers that are asleep or waking.
 	Asleep []string `json:"asleep"`
 }
 
 func (e *Entry) getWorkers(ctx *fasthttp.RequestCtx, _ config.Identity) {
-	writeJSON(ctx, fasthttp.StatusOK, e.workersView())
+	writeJSON(ctx, fasthttp.StatusOK, e.listWorkers())
 }
 
-func (e *Entry) workersView() WorkersReply {
+// listWorkers returns the linked backend servers and the workers that are asleep or waking. The list
+// of backend servers is empty if the entry stops meanwhile.
+func (e *Entry) listWorkers() WorkersReply {
 	reply := WorkersReply{Backends: []WorkerView{}, Asleep: []string{}}
-	got := make(chan []WorkerView, 1)
-	e.post(func(core *dispatch.Core, now time.Time) { got <- agentViews(core.Pool(), now) })
+	views := make(chan []WorkerView, 1)
+	e.post(func(core *dispatch.Core, now time.Time) { views <- agentViews(core.Pool(), now) })
 	select {
-	case reply.Backends = <-got:
+	case reply.Backends = <-views:
 	case <-e.work.Done():
 	}
-	for _, w := range *e.sleeping.Load() {
+	for _, w := range *e.sleepingWorkers.Load() {
 		reply.Asleep = append(reply.Asleep, w.ID)
 	}
 	return reply
@@ -207,23 +218,26 @@
 	return "up"
 }
 
-// InstanceView is an entry and the configuration version in force there.
+// InstanceView is a live entry and the configuration version in force there.
 type InstanceView struct {
 	Entry   string `json:"entry"`
 	Address string `json:"address"`
 	Config  uint64 `json:"config"`
-	// Fresh is false on this entry if its version could not be confirmed lately.
+	// Fresh is false for the answering entry if it could not confirm its version recently; it is
+	// always true for other entries.
 	Fresh bool `json:"fresh"`
 }
 
 func (e *Entry) getInstances(ctx *fasthttp.RequestCtx, _ config.Identity) {
-	writeJSON(ctx, fasthttp.StatusOK, e.instances())
+	writeJSON(ctx, fasthttp.StatusOK, e.listInstances())
 }
 
-func (e *Entry) instances() []InstanceView {
-	versions := *e.versions.Load()
+// listInstances returns the live entries. The versions of other entries are those that they last
+// wrote to their rows in the table service.
+func (e *Entry) listInstances() []InstanceView {
+	versions := *e.configVersions.Load()
 	var list []InstanceView
-	for _, entry := range *e.live.Load() {
+	for _, entry := range *e.liveEntries.Load() {
 		view := InstanceView{Entry: entry.ID, Address: entry.Address, Config: versions[entry.ID], Fresh: true}
 		if entry.ID == e.self.ID {
 			view.Config = e.configVersion()
@@ -238,15 +252,18 @@
 type TeamView struct {
 	Team   string  `json:"team"`
 	Weight float64 `json:"weight"`
-	Quota  int     `json:"quota"`
-	Open   int     `json:"open"`
+	// Quota is the team's limit of open tasks, as configured.
+	Quota int `json:"quota"`
+	// Open is the number of the team's open tasks at this entry.
+	Open int `json:"open"`
 }
 
 func (e *Entry) getTeams(ctx *fasthttp.RequestCtx, _ config.Identity) {
-	writeJSON(ctx, fasthttp.StatusOK, e.teams())
+	writeJSON(ctx, fasthttp.StatusOK, e.listTeams())
 }
 
-func (e *Entry) teams() []TeamView {
+// listTeams returns all configured teams with their open tasks at this entry.
+func (e *Entry) listTeams() []TeamView {
 	open := make(chan map[string]int, 1)
 	e.post(func(core *dispatch.Core, _ time.Time) { open <- core.OpenByTeam() })
 	var counts map[string]int
@@ -261,8 +278,9 @@
 	return list
 }
 
+// getMetrics answers with all metrics as JSON, those of the claim store brought up to date.
 func (e *Entry) getMetrics(ctx *fasthttp.RequestCtx, _ config.Identity) {
-	e.publishClaims()
+	e.publishClaimStats()
 	data, err := e.deps.Metrics.(*metrics.StandardRegistry).MarshalJSON()
 	if err != nil {
 		writeError(ctx, err)
@@ -272,7 +290,8 @@
 	ctx.SetBody(data)
 }
 
-// getHealth tells the balancer whether to send callers here.
+// getHealth is the health check of the load balancer: status 503 while the entry drains or has no
+// configuration, else 200.
 func (e *Entry) getHealth(ctx *fasthttp.RequestCtx) {
 	status, state := fasthttp.StatusOK, "ok"
 	switch {
@@ -287,15 +306,15 @@
 }
 
 // Linked returns the number of agents with an open link.
-func (e *Entry) Linked() int { return e.links.count() }
+func (e *Entry) Linked() int { return e.links.openLinks() }
 
-// Configured reports whether a configuration is in force here.
+// Configured reports whether this entry has read a configuration.
 func (e *Entry) Configured() bool { return e.watcher.Current() != nil }
 
 // ConfigVersion returns the configuration version in force here; 0 if none.
 func (e *Entry) ConfigVersion() uint64 { return e.configVersion() }
 
-// Usable returns the number of agents that are up and take new work.
+// Usable returns the number of agents that are up and accept new work; 0 if the entry has stopped.
 func (e *Entry) Usable() int {
 	count := make(chan int, 1)
 	e.post(func(core *dispatch.Core, _ time.Time) {
--- a/service/entry/answer.go
+++ b/service/entry/answer.go
@@ -18,30 +18,32 @@
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// Kind is the published name of the error kind.
+	// Kind is the name of the error kind in the interface.
 	Kind string `json:"kind"`
-	// Ran says what is known about execution: not-run, ran or unknown.
+	// Ran tells what is known about the execution: not-run, ran or unknown.
 	Ran string `json:"ran"`
 	// Field is the path of the offending input.
 	Field string `json:"field,omitempty"`
-	// RetryAfterMs is when to come back; the header has whole seconds.
+	// RetryAfterMs is the time after which to retry; the Retry-After header has it in whole seconds.
 	RetryAfterMs int64 `json:"retryAfterMs,omitempty"`
-	// Tasks tells for each task of a failed job what is known.
+	// Tasks tells for each task of a failed job what is known about its execution.
 	Tasks []taskProblem `json:"tasks,omitempty"`
 }
 
+// taskProblem is the error kind of one task and what is known about its execution.
 type taskProblem struct {
 	Kind string `json:"kind"`
 	Ran  string `json:"ran"`
 }
 
-// typePrefix starts the type of a problem.
+// typePrefix is the prefix of the URN that names the type of a problem.
 const typePrefix = "urn:peridotpick:error:"
 
+// Content types of answers.
 const contentProblem = "application/problem+json"
 const contentJSON = "application/json"
 
-// jobAnswer is the answer of a job: complete, or still running.
+// jobAnswer is the answer for a job that is complete or still running.
 type jobAnswer struct {
 	Key string `json:"key,omitempty"`
 	// State is complete or running.
@@ -54,10 +56,10 @@
 	stateComplete = "complete"
 	stateRunning  = "running"
 	stateFailed   = "failed"
-	stateVoid     = "not-run"
+	stateNotRun   = "not-run"
 )
 
-// taskAnswer is the result of a task: a JSON value, or bytes in base64.
+// taskAnswer is the result of a task: Result if it is valid JSON, else ResultBytes in base64.
 type taskAnswer struct {
 	Result      json.RawMessage `json:"result,omitempty"`
 	ResultBytes []byte          `json:"resultBytes,omitempty"`
@@ -74,17 +76,19 @@
 	ctx.SetBody(data)
 }
 
-// writeError answers with a refusal that started nothing, or an internal error.
+// writeError answers with an error for a request that started nothing, or with an internal error.
 func writeError(ctx *fasthttp.RequestCtx, err error) {
 	e := errkind.From(err)
 	writeProblem(ctx, &wire.Outcome{Kind: e.Kind, Detail: e.Detail, RetryAfter: e.RetryAfter}, e.Field)
 }
 
+// writeProblem answers with the error of an outcome; field is the path of the offending input or
+// empty.
 func writeProblem(ctx *fasthttp.RequestCtx, o *wire.Outcome, field string) {
-	row := errkind.Of(o.Kind)
+	info := errkind.Of(o.Kind)
 	p := problem{
-		Type: typePrefix + row.Name, Title: row.Title, Status: row.Status, Detail: o.Detail,
-		Kind: row.Name, Ran: o.Ran().String(), Field: field, RetryAfterMs: o.RetryAfter.Milliseconds(),
+		Type: typePrefix + info.Name, Title: info.Title, Status: info.Status, Detail: o.Detail,
+		Kind: info.Name, Ran: o.Ran().String(), Field: field, RetryAfterMs: o.RetryAfter.Milliseconds(),
 	}
 	for _, t := range o.Tasks {
 		p.Tasks = append(p.Tasks, taskProblem{Kind: t.Kind.String(), Ran: t.Ran.String()})
@@ -94,7 +98,7 @@
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
-	ctx.SetStatusCode(row.Status)
+	ctx.SetStatusCode(info.Status)
 	ctx.SetContentType(contentProblem)
 	ctx.Response.Header.Set(headerRan, p.Ran)
 	if o.RetryAfter > 0 {
@@ -104,7 +108,7 @@
 	ctx.SetBody(data)
 }
 
-// writeJob answers with the outcome of a job; a nil one is still running.
+// writeJob answers with the outcome of a job; nil means that the job is still running.
 func writeJob(ctx *fasthttp.RequestCtx, key string, o *wire.Outcome) {
 	switch {
 	case o == nil:
@@ -129,7 +133,7 @@
 	return taskAnswer{ResultBytes: payload}
 }
 
-// writeCall answers with the result of a call as the backend server gave it.
+// writeCall answers with the result of a call, its bytes as the backend server returned them.
 func writeCall(ctx *fasthttp.RequestCtx, o *wire.Outcome) {
 	if o.Kind != errkind.OK {
 		writeProblem(ctx, o, "")
@@ -140,12 +144,12 @@
 	ctx.SetBody(o.Tasks[0].Payload)
 }
 
-// stopped is the answer to a request that is open when the entry is aborted.
-func stopped() *wire.Outcome {
+// stoppedOutcome returns the outcome for a request that is open when the entry is aborted.
+func stoppedOutcome() *wire.Outcome {
 	return &wire.Outcome{Kind: errkind.FateUnknown, Detail: "this entry stopped; ask again with the same key", RetryAfter: time.Second}
 }
 
-// refusalCounts counts answers that are not successes by kind.
+// refusalCounts counts the outcomes of refused and failed requests by error kind.
 type refusalCounts struct {
 	mu     sync.Mutex
 	counts map[errkind.Kind]uint64
@@ -163,7 +167,7 @@
 	r.counts[kind]++
 }
 
-// byName returns the counts by the published name of the kind.
+// byName returns the counts by the name of the error kind in the interface.
 func (r *refusalCounts) byName() map[string]uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/service/entry/api.go
+++ b/service/entry/api.go
@@ -15,19 +15,19 @@
 
 // Routes of the interface, version 1. docs/openapi.json describes them.
 const (
-	routeJobs    = "/v1/jobs"
-	routeJob     = "/v1/jobs/{key}"
-	routeCall    = "/v1/calls/{service}/{kind}"
-	routeConfig  = "/v1/admin/config"
-	routeHistory = "/v1/admin/config/history"
-	routeVersion = "/v1/admin/config/history/{version}"
-	routeCheck   = "/v1/admin/config/validate"
-	routeWorkers = "/v1/admin/workers"
-	routeMembers = "/v1/admin/instances"
-	routeTeams   = "/v1/admin/teams"
-	routeMetrics = "/v1/admin/metrics"
-	routeHealth  = "/healthz"
-	routePage    = "/"
+	routeJobs      = "/v1/jobs"
+	routeJob       = "/v1/jobs/{key}"
+	routeCall      = "/v1/calls/{service}/{kind}"
+	routeConfig    = "/v1/admin/config"
+	routeHistory   = "/v1/admin/config/history"
+	routeVersion   = "/v1/admin/config/history/{version}"
+	routeValidate  = "/v1/admin/config/validate"
+	routeWorkers   = "/v1/admin/workers"
+	routeInstances = "/v1/admin/instances"
+	routeTeams     = "/v1/admin/teams"
+	routeMetrics   = "/v1/admin/metrics"
+	routeHealth    = "/healthz"
+	routePage      = "/"
 )
 
 // Headers of the interface.
@@ -40,37 +40,38 @@
 	headerRan  = "Peridotpick-Ran"
 )
 
-// Limits of the HTTP server that are not settings.
+// Limits of the HTTP server that are not configurable, and identities that need no credential.
 const (
-	headerBytes  = 16 << 10
-	idleTimeout  = 75 * time.Second
-	writeTimeout = 30 * time.Second
-	devIdentity  = "dev"
-	// bootstrapIdentity is the author of the first configuration.
+	maxHeaderBytes = 16 << 10
+	idleTimeout    = 75 * time.Second
+	writeTimeout   = 30 * time.Second
+	devIdentity    = "dev"
+	// bootstrapIdentity is the name of the operator who puts the first configuration.
 	bootstrapIdentity = "bootstrap"
 )
 
 // handler serves one route for an authenticated caller.
-type handler func(ctx *fasthttp.RequestCtx, who config.Identity)
+type handler func(ctx *fasthttp.RequestCtx, identity config.Identity)
 
+// newHTTPServer returns the server of the callers' and operators' interface with all its routes.
 func (e *Entry) newHTTPServer() *fasthttp.Server {
 	r := router.New()
 	r.RedirectTrailingSlash = false
-	r.POST(routeJobs, e.as(e.postJob, config.RoleCaller))
-	r.GET(routeJobs, e.as(e.listJobs, config.RoleCaller))
-	r.GET(routeJob, e.as(e.getJob, config.RoleCaller))
-	r.DELETE(routeJob, e.as(e.cancelJob, config.RoleCaller))
-	r.POST(routeCall, e.as(e.postCall, config.RoleCaller))
-	r.GET(routeConfig, e.as(e.getConfig, config.RoleOperator, config.RoleReadOnly))
-	r.PUT(routeConfig, e.as(e.putConfig, config.RoleOperator))
-	r.GET(routeHistory, e.as(e.getHistory, config.RoleOperator, config.RoleReadOnly))
-	r.GET(routeVersion, e.as(e.getVersion, config.RoleOperator, config.RoleReadOnly))
-	r.POST(routeCheck, e.as(e.checkConfig, config.RoleOperator, config.RoleReadOnly))
-	r.GET(routeWorkers, e.as(e.getWorkers, config.RoleOperator, config.RoleReadOnly))
-	r.GET(routeMembers, e.as(e.getInstances, config.RoleOperator, config.RoleReadOnly))
-	r.GET(routeTeams, e.as(e.getTeams, config.RoleOperator, config.RoleReadOnly))
-	r.GET(routeMetrics, e.as(e.getMetrics, config.RoleOperator, config.RoleReadOnly))
-	r.GET(routePage, e.as(e.getPage, config.RoleOperator, config.RoleReadOnly))
+	r.POST(routeJobs, e.requireRole(e.postJob, config.RoleCaller))
+	r.GET(routeJobs, e.requireRole(e.listJobs, config.RoleCaller))
+	r.GET(routeJob, e.requireRole(e.getJob, config.RoleCaller))
+	r.DELETE(routeJob, e.requireRole(e.cancelJob, config.RoleCaller))
+	r.POST(routeCall, e.requireRole(e.postCall, config.RoleCaller))
+	r.GET(routeConfig, e.requireRole(e.getConfig, config.RoleOperator, config.RoleReadOnly))
+	r.PUT(routeConfig, e.requireRole(e.putConfig, config.RoleOperator))
+	r.GET(routeHistory, e.requireRole(e.getHistory, config.RoleOperator, config.RoleReadOnly))
+	r.GET(routeVersion, e.requireRole(e.getVersion, config.RoleOperator, config.RoleReadOnly))
+	r.POST(routeValidate, e.requireRole(e.checkConfig, config.RoleOperator, config.RoleReadOnly))
+	r.GET(routeWorkers, e.requireRole(e.getWorkers, config.RoleOperator, config.RoleReadOnly))
+	r.GET(routeInstances, e.requireRole(e.getInstances, config.RoleOperator, config.RoleReadOnly))
+	r.GET(routeTeams, e.requireRole(e.getTeams, config.RoleOperator, config.RoleReadOnly))
+	r.GET(routeMetrics, e.requireRole(e.getMetrics, config.RoleOperator, config.RoleReadOnly))
+	r.GET(routePage, e.requireRole(e.getPage, config.RoleOperator, config.RoleReadOnly))
 	r.GET(routeHealth, e.getHealth)
 	r.NotFound = func(ctx *fasthttp.RequestCtx) {
 		writeError(ctx, errkind.New(errkind.NotFound, "no such resource: "+string(ctx.Path())))
@@ -81,21 +82,22 @@
 	}
 	limits := e.settings.Limits
 	return &fasthttp.Server{
-		Handler: e.counted(r.Handler), Name: "peridotpick", ReadTimeout: limits.ReadTimeout.Std(),
-		WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, ReadBufferSize: headerBytes,
+		Handler: e.trackOpenRequests(r.Handler), Name: "peridotpick", ReadTimeout: limits.ReadTimeout.Std(),
+		WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, ReadBufferSize: maxHeaderBytes,
 		MaxRequestBodySize: limits.MaxBody, StreamRequestBody: true, CloseOnShutdown: true,
-		Concurrency: limits.MaxConnections, ErrorHandler: badRequest, Logger: quiet{},
+		Concurrency: limits.MaxConnections, ErrorHandler: answerParseError, Logger: discardLogger{},
 	}
 }
 
-// quiet drops the HTTP library's own log lines; failures are answered and counted.
-type quiet struct{}
+// discardLogger discards the log lines of the HTTP library; failed requests are answered anyway.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// badRequest answers what the library could not parse.
-func badRequest(ctx *fasthttp.RequestCtx, err error) {
+// answerParseError answers requests that the HTTP library could not parse. The library reports
+// headers that are too large only by the text of its error.
+func answerParseError(ctx *fasthttp.RequestCtx, err error) {
 	kind := errkind.InvalidRequest
 	if strings.Contains(err.Error(), "small read buffer") {
 		kind = errkind.TooLarge
@@ -103,11 +105,12 @@
 	writeError(ctx, errkind.NewField(kind, "request", err.Error()))
 }
 
-// counted tracks open requests, for a graceful end.
-func (e *Entry) counted(next fasthttp.RequestHandler) fasthttp.RequestHandler {
+// trackOpenRequests counts open requests, so that draining can wait for them, and closes each
+// connection after its answer while the entry drains.
+func (e *Entry) trackOpenRequests(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		e.open.Add(1)
-		defer e.open.Add(-1)
+		e.openRequests.Add(1)
+		defer e.openRequests.Add(-1)
 		next(ctx)
 		if e.draining.Load() {
 			ctx.SetConnectionClose()
@@ -115,21 +118,21 @@
 	}
 }
 
-// as lets callers with one of the roles through.
-func (e *Entry) as(next handler, roles ...config.Role) fasthttp.RequestHandler {
+// requireRole passes on requests of identities that have one of the roles and refuses all others.
+func (e *Entry) requireRole(next handler, roles ...config.Role) fasthttp.RequestHandler {
 	log := e.deps.Logs.For(logs.HTTP)
 	return func(ctx *fasthttp.RequestCtx) {
-		who, err := e.identify(ctx, roles)
+		identity, err := e.identify(ctx, roles)
 		if err != nil {
 			log.Warn().Str("path", string(ctx.Path())).Str("remote", ctx.RemoteAddr().String()).Stringer("kind", err.Kind).Msg("http: refused")
 			writeError(ctx, err)
 			return
 		}
-		next(ctx, who)
+		next(ctx, identity)
 	}
 }
 
-// identify returns the caller's identity if it has one of the roles.
+// identify returns the identity that sent the request if it has one of the roles.
 func (e *Entry) identify(ctx *fasthttp.RequestCtx, roles []config.Role) (config.Identity, *errkind.Error) {
 	conf := e.watcher.Current()
 	if conf == nil && roles[0] != config.RoleCaller && e.mayBootstrap(ctx) {
@@ -145,24 +148,24 @@
 	if !ok {
 		return config.Identity{}, errkind.NewField(errkind.Unauthorized, fasthttp.HeaderAuthorization, "a bearer token is required")
 	}
-	who, ok := conf.Authenticate(token, time.Now())
+	identity, ok := conf.Authenticate(token, time.Now())
 	if !ok {
 		return config.Identity{}, errkind.NewField(errkind.Unauthorized, fasthttp.HeaderAuthorization, "the token is unknown or expired")
 	}
 	for _, role := range roles {
-		if who.Role == role {
-			return who, nil
+		if identity.Role == role {
+			return identity, nil
 		}
 	}
-	return config.Identity{}, errkind.New(errkind.Forbidden, "the role "+string(who.Role)+" does not permit this")
+	return config.Identity{}, errkind.New(errkind.Forbidden, "the role "+string(identity.Role)+" does not permit this")
 }
 
-// mayBootstrap reports whether a request may put the first configuration: in
-// development mode, or with the token whose hash the settings name. It is asked
-// only while no configuration was ever read.
+// mayBootstrap reports whether a request may validate or put the first configuration: in
+// development mode, or with the token whose hash is in the settings. It may only be called while
+// this entry has read no configuration.
 func (e *Entry) mayBootstrap(ctx *fasthttp.RequestCtx) bool {
 	path := string(ctx.Path())
-	if path != routeConfig && path != routeCheck {
+	if path != routeConfig && path != routeValidate {
 		return false
 	}
 	if e.settings.Dev {
@@ -173,7 +176,8 @@
 	return ok && want != "" && subtle.ConstantTimeCompare([]byte(config.HashToken(token)), []byte(want)) == 1
 }
 
-// devCaller takes the word of a caller on loopback, in development mode only.
+// devCaller returns the identity that a request claims without proof. Development mode accepts it
+// since it listens on loopback only.
 func devCaller(ctx *fasthttp.RequestCtx, conf *config.Compiled, roles []config.Role) (config.Identity, *errkind.Error) {
 	if roles[0] != config.RoleCaller {
 		return config.Identity{Role: config.RoleOperator, Name: devIdentity}, nil
@@ -185,6 +189,7 @@
 	return config.Identity{Role: config.RoleCaller, Name: team}, nil
 }
 
+// configVersion returns the configuration version in force here; 0 if none was read.
 func (e *Entry) configVersion() uint64 {
 	if conf := e.watcher.Current(); conf != nil {
 		return conf.Version
--- a/service/entry/conns.go
+++ b/service/entry/conns.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// trackedListener remembers the connections of callers, so that none outlives
-// the entry.
+// trackedListener is a listener that tracks its open connections, so that all connections of
+// callers can be closed when the entry is aborted.
 type trackedListener struct {
 	net.Listener
 	mu    sync.Mutex
@@ -30,7 +30,7 @@
 	return tracked, nil
 }
 
-// closeAll closes the listener and all connections.
+// closeAll closes the listener and all open connections.
 func (l *trackedListener) closeAll() {
 	_ = l.Listener.Close()
 	l.mu.Lock()
@@ -40,6 +40,7 @@
 	}
 }
 
+// trackedConn is a connection that removes itself from its listener when closed.
 type trackedConn struct {
 	net.Conn
 	listener *trackedListener
--- a/service/entry/control.go
+++ b/service/entry/control.go
@@ -15,85 +15,92 @@
 	"peridotpick.example/wire"
 )
 
-// Times of control work.
+// Intervals and timeouts of the control loop.
 const (
-	// leaseAfterRenewal is how long claimed work may be started after the own
-	// row was confirmed. It is shorter than agents remember fences, so that an
-	// entry that was paused or cut off cannot start what was taken over.
-	leaseAfterRenewal = 45 * time.Second
-	controlTimeout    = 2 * time.Second
-	controlTick       = 250 * time.Millisecond
-	// sweepEvery is the pause between sweeps, sweepBatch the claims of one.
-	sweepEvery = time.Second
-	sweepBatch = 64
-	// orphanMargin is how long after its deadline an orphan without its request
-	// is closed.
-	orphanMargin = 5 * time.Second
-	// expireEvery is the pause between deletions of expired claims.
-	expireEvery = 2 * time.Second
+	// entryLease is the time after a confirmed renewal of the own row during which this entry may
+	// start claimed work. It is shorter than the time for which agents remember fences, so that an
+	// entry that was suspended or partitioned cannot start work that another entry has taken over.
+	entryLease = 45 * time.Second
+	// controlTimeout bounds one task of the control loop or one request of power control.
+	controlTimeout = 2 * time.Second
+	// controlInterval is the pause between checks for due tasks.
+	controlInterval = 250 * time.Millisecond
+	// sweepInterval is the period of sweeps; sweepBatch is the number of claims that one sweep reads
+	// for each lost entry.
+	sweepInterval = time.Second
+	sweepBatch    = 64
+	// gatherDelay is the time after its deadline from which a submission of a lost entry is gathered
+	// and closed even though its request is not stored.
+	gatherDelay = 5 * time.Second
+	// expireInterval is the period of deletions of expired claims.
+	expireInterval = 2 * time.Second
 )
 
-// control is the goroutine that owns the registry: it renews the own row,
-// looks at the others, and takes up what lost entries left.
-type control struct {
+// controlLoop owns the registry: it renews the own row, reads those of the other entries, resumes
+// submissions of lost entries and deletes expired claims.
+type controlLoop struct {
 	entry *Entry
 	log   zerolog.Logger
-	// former are earlier incarnations of this entry whose claims are to be swept.
-	former []wire.EntryInfo
-	// next are the times at which the duties are due.
-	renewAt, lookAt, sweepAt, expireAt time.Time
+	// previousIncarnations are those of this entry whose claims have not all been swept yet.
+	previousIncarnations []wire.EntryInfo
+	// Times at which the tasks are due next.
+	nextRenew, nextReadPeers, nextSweep, nextExpire time.Time
 }
 
-// membership runs the control duties until ctx ends.
-func (e *Entry) membership(ctx context.Context) error {
-	c := &control{entry: e, log: e.deps.Logs.For(logs.Members)}
+// runControl runs the control loop until ctx ends.
+func (e *Entry) runControl(ctx context.Context) error {
+	c := &controlLoop{entry: e, log: e.deps.Logs.For(logs.Members)}
 	for ctx.Err() == nil {
-		c.duty(ctx, &c.renewAt, members.RenewEvery, c.renew, "members: own row not renewed")
-		c.duty(ctx, &c.lookAt, members.LookEvery, c.look, "members: rows not read")
-		c.duty(ctx, &c.sweepAt, sweepEvery, c.sweep, "members: sweep failed")
-		c.duty(ctx, &c.expireAt, expireEvery, c.expire, "members: expired claims not deleted")
-		wait(ctx, controlTick)
+		c.runIfDue(ctx, &c.nextRenew, members.RenewEvery, c.renew, "members: own row not renewed")
+		c.runIfDue(ctx, &c.nextReadPeers, members.LookEvery, c.readPeers, "members: rows of entries not read")
+		c.runIfDue(ctx, &c.nextSweep, sweepInterval, c.sweep, "members: submissions of lost entries not resumed")
+		c.runIfDue(ctx, &c.nextExpire, expireInterval, c.deleteExpired, "members: expired claims not deleted")
+		sleep(ctx, controlInterval)
 	}
 	return nil
 }
 
-// duty runs do if it is due.
-func (c *control) duty(ctx context.Context, at *time.Time, every time.Duration, do func(context.Context) error, failure string) {
+// runIfDue runs a task if the time next has come and sets next to one interval later. A failure is
+// logged with the message failure.
+func (c *controlLoop) runIfDue(ctx context.Context, next *time.Time, interval time.Duration, task func(context.Context) error, failure string) {
 	now := time.Now()
-	if now.Before(*at) {
+	if now.Before(*next) {
 		return
 	}
-	*at = now.Add(every)
-	limited, cancel := context.WithTimeout(ctx, controlTimeout)
+	*next = now.Add(interval)
+	timeoutCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	if err := do(limited); err != nil {
+	if err := task(timeoutCtx); err != nil {
 		c.log.Warn().Err(err).Msg(failure)
 	}
 }
 
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
 	}
 }
 
-func (c *control) renew(ctx context.Context) error {
+// renew renews the own row and, with it, the lease under which the core starts claimed work.
+func (c *controlLoop) renew(ctx context.Context) error {
 	e := c.entry
 	renewal, err := e.registry.Renew(ctx, time.Now(), e.configVersion())
 	if err != nil {
 		return err
 	}
-	until := renewal.Sent.Add(leaseAfterRenewal)
+	until := renewal.Sent.Add(entryLease)
 	e.post(func(core *dispatch.Core, _ time.Time) { core.SetLease(until) })
 	if renewal.Previous != nil {
-		c.former = append(c.former, *renewal.Previous)
+		c.previousIncarnations = append(c.previousIncarnations, *renewal.Previous)
 	}
 	return nil
 }
 
-// look reads the rows of the other entries and tells agents of changes.
-func (c *control) look(ctx context.Context) error {
+// readPeers reads the rows of the other entries. If the set of live entries has changed, it notifies
+// the agents, the claim store and the core.
+func (c *controlLoop) readPeers(ctx context.Context) error {
 	e := c.entry
 	if err := e.registry.Look(ctx, time.Now()); err != nil {
 		return err
@@ -101,9 +108,9 @@
 	now := time.Now()
 	live := e.registry.Live(now)
 	versions := e.registry.Versions(now)
-	e.versions.Store(&versions)
-	before := *e.live.Load()
-	e.live.Store(&live)
+	e.configVersions.Store(&versions)
+	before := *e.liveEntries.Load()
+	e.liveEntries.Store(&live)
 	if !sameEntries(before, live) {
 		e.links.broadcast(&wire.ToAgent{Entries: live})
 		e.claims.SetShares(len(live))
@@ -128,21 +135,22 @@
 	return true
 }
 
-// chosen reports whether this entry is the one to do a duty of that name. Two
-// entries that see different live entries may both be: all duties bear that.
-func (c *control) chosen(duty string) bool {
-	live := *c.entry.live.Load()
+// isResponsible reports whether this entry is to do the task of that name, chosen among the live
+// entries by rendezvous hashing. Two entries that see different live entries may both be
+// responsible, so all such tasks must tolerate being done twice.
+func (c *controlLoop) isResponsible(task string) bool {
+	live := *c.entry.liveEntries.Load()
 	names := make([]string, len(live))
 	for i := range live {
 		names[i] = live[i].ID
 	}
-	return rendezvous.New(names, xxh3.HashString).Lookup(duty) == c.entry.self.ID
+	return rendezvous.New(names, xxh3.HashString).Lookup(task) == c.entry.self.ID
 }
 
-// sweep takes up the submissions of lost entries and of former incarnations.
-func (c *control) sweep(ctx context.Context) error {
+// sweep resumes the submissions of lost entries and of previous incarnations of this entry.
+func (c *controlLoop) sweep(ctx context.Context) error {
 	for _, owner := range c.entry.registry.Lost(time.Now()) {
-		if !c.chosen(owner.ID) {
+		if !c.isResponsible(owner.ID) {
 			continue
 		}
 		dead, err := c.entry.registry.MarkDead(ctx, owner.ID)
@@ -162,13 +170,15 @@
 			}
 		}
 	}
-	return c.sweepFormer(ctx)
+	return c.sweepPreviousIncarnations(ctx)
 }
 
-func (c *control) sweepFormer(ctx context.Context) error {
+// sweepPreviousIncarnations sweeps the claims of previous incarnations of this entry and keeps those
+// that still have claims or could not be read.
+func (c *controlLoop) sweepPreviousIncarnations(ctx context.Context) error {
 	var left []wire.EntryInfo
 	var failed error
-	for _, owner := range c.former {
+	for _, owner := range c.previousIncarnations {
 		n, err := c.sweepOwner(ctx, owner)
 		if err != nil {
 			failed = err
@@ -177,13 +187,13 @@
 			left = append(left, owner)
 		}
 	}
-	c.former = left
+	c.previousIncarnations = left
 	return failed
 }
 
-// sweepOwner resumes what an entry incarnation left. It returns how many of
-// its claims are still to be dealt with.
-func (c *control) sweepOwner(ctx context.Context, owner wire.EntryInfo) (int, error) {
+// sweepOwner resumes up to sweepBatch open submissions of an entry incarnation and deletes stale
+// index rows. It returns the number of claims that the incarnation still owns.
+func (c *controlLoop) sweepOwner(ctx context.Context, owner wire.EntryInfo) (int, error) {
 	e := c.entry
 	submissions, err := e.claims.Owned(ctx, owner, sweepBatch)
 	if err != nil {
@@ -209,28 +219,28 @@
 	return len(submissions) - len(stale), nil
 }
 
-// resume takes a submission up if its request is known, or if its caller can
-// no longer wait for it; until then a resubmission brings the request.
-func (c *control) resume(row *claim.Row, version uint64) {
+// resume hands a submission to the core if its request is stored, or if its deadline has passed by
+// gatherDelay. Until then the caller may resubmit the request, which resumes it as well.
+func (c *controlLoop) resume(row *claim.Row, version uint64) {
 	e := c.entry
-	request := e.storedRequest(row)
-	if request == nil && time.Now().Before(row.Deadline.Add(orphanMargin)) {
+	request := e.decodeStoredRequest(row)
+	if request == nil && time.Now().Before(row.Deadline.Add(gatherDelay)) {
 		return
 	}
 	c.log.Info().Str("submission", row.Submission).Str("lost", row.Owner.ID).Msg("members: submission of a lost entry resumed")
 	e.post(func(core *dispatch.Core, now time.Time) { core.Resume(now, row, version, request) })
 }
 
-// expire deletes claims that nobody may ask for any more.
-func (c *control) expire(ctx context.Context) error {
+// deleteExpired deletes one batch of claims that ended before the retention period.
+func (c *controlLoop) deleteExpired(ctx context.Context) error {
 	e := c.entry
 	conf := e.watcher.Current()
-	if conf == nil || !c.chosen("retention") {
+	if conf == nil || !c.isResponsible("retention") {
 		return nil
 	}
 	n, err := e.claims.Expire(ctx, time.Now().Add(-conf.Retention()), sweepBatch)
 	if n == sweepBatch {
-		c.expireAt = time.Now() // more are due
+		c.nextExpire = time.Now() // a full batch: more may be due
 	}
 	return err
 }
--- a/service/entry/decode.go
+++ b/service/entry/decode.go
@@ -24,12 +24,12 @@
 	"peridotpick.example/core/dispatch"
 )
 
-// keyPattern is what an idempotency key may look like.
+// keyPattern matches valid idempotency keys.
 var keyPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
 
-// jobBody is the body of a job.
+// jobBody is the JSON body of a request that submits a job.
 type jobBody struct {
-	// Deadline is the time to the answer, such as "5s".
+	// Deadline is the time until the answer is due, such as "5s"; the default if it is absent.
 	Deadline settings.Duration `json:"deadline"`
 	Tasks    []taskBody        `json:"tasks"`
 }
@@ -39,20 +39,21 @@
 	Service  string `json:"service"`
 	Kind     string `json:"kind"`
 	Selector string `json:"selector"`
-	// Payload is any JSON value; the backend server gets it as it stands.
+	// Payload is any JSON value; the backend server receives its bytes unchanged.
 	Payload json.RawMessage `json:"payload"`
 }
 
-// storedRequest is a request as kept in a claim, for another entry to resume.
+// storedRequest is the request of an asynchronous job as stored in its claim, so that another entry
+// can resume it.
 type storedRequest struct {
 	Team string `cbor:"1,keyasint"`
 	Body []byte `cbor:"2,keyasint"`
 }
 
-// limits are those that decoding enforces.
+// limits are the limits that decoding enforces; maxBody and maxPayload are in bytes.
 type limits struct {
-	body, tasks, payload   int
-	deadline, deadlineMost time.Duration
+	maxBody, maxTasks, maxPayload int
+	defaultDeadline, maxDeadline  time.Duration
 }
 
 func (e *Entry) limits() limits {
@@ -60,26 +61,26 @@
 	return limits{l.MaxBody, l.MaxTasks, l.MaxPayload, l.DefaultDeadline.Std(), l.MaxDeadline.Std()}
 }
 
-// decodeJob reads a job from a stream. digest identifies its bytes.
+// decodeJob reads and validates a job. digest is the hash of the bytes of the body.
 func decodeJob(body io.Reader, l limits) (job *jobBody, digest uint64, err error) {
 	hasher := xxh3.New()
-	limited := &io.LimitedReader{R: body, N: int64(l.body) + 1}
+	limited := &io.LimitedReader{R: body, N: int64(l.maxBody) + 1}
 	dec := json.NewDecoder(io.TeeReader(limited, hasher))
 	dec.DisallowUnknownFields()
 	job = new(jobBody)
 	if err := dec.Decode(job); err != nil {
 		return nil, 0, jsonError(err, limited, l)
 	}
-	if err := endOfBody(dec, limited, l); err != nil {
+	if err := requireEndOfBody(dec, limited, l); err != nil {
 		return nil, 0, err
 	}
-	return job, hasherSum(hasher), job.check(l)
+	return job, hasherSum(hasher), job.validate(l)
 }
 
 func hasherSum(h hash.Hash64) uint64 { return h.Sum64() }
 
-// endOfBody makes sure that nothing but white space follows.
-func endOfBody(dec *json.Decoder, limited *io.LimitedReader, l limits) error {
+// requireEndOfBody returns an error if more than white space follows the job.
+func requireEndOfBody(dec *json.Decoder, limited *io.LimitedReader, l limits) error {
 	_, err := dec.Token()
 	switch {
 	case limited.N <= 0:
@@ -91,10 +92,10 @@
 }
 
 func tooLarge(l limits) error {
-	return errkind.NewField(errkind.TooLarge, "body", fmt.Sprintf("the body has more than %d bytes", l.body))
+	return errkind.NewField(errkind.TooLarge, "body", fmt.Sprintf("the body has more than %d bytes", l.maxBody))
 }
 
-// jsonError names the field that could not be decoded.
+// jsonError converts a decoding error into one that names the offending field where it is known.
 func jsonError(err error, limited *io.LimitedReader, l limits) error {
 	if limited.N <= 0 {
 		return tooLarge(l)
@@ -110,27 +111,28 @@
 	return errkind.NewField(errkind.InvalidRequest, "body", "not valid JSON: "+err.Error())
 }
 
-func (j *jobBody) check(l limits) error {
+// validate checks the job against the limits and sets the default deadline.
+func (j *jobBody) validate(l limits) error {
 	if len(j.Tasks) == 0 {
 		return errkind.NewField(errkind.InvalidRequest, "tasks", "at least 1 task is required")
 	}
-	if len(j.Tasks) > l.tasks {
-		return errkind.NewField(errkind.TooLarge, "tasks", fmt.Sprintf("%d tasks, at most %d", len(j.Tasks), l.tasks))
+	if len(j.Tasks) > l.maxTasks {
+		return errkind.NewField(errkind.TooLarge, "tasks", fmt.Sprintf("%d tasks, at most %d", len(j.Tasks), l.maxTasks))
 	}
 	for i := range j.Tasks {
-		if n := len(j.Tasks[i].Payload); n > l.payload {
-			return errkind.NewField(errkind.TooLarge, fmt.Sprintf("tasks[%d].payload", i), fmt.Sprintf("%d bytes, at most %d", n, l.payload))
+		if n := len(j.Tasks[i].Payload); n > l.maxPayload {
+			return errkind.NewField(errkind.TooLarge, fmt.Sprintf("tasks[%d].payload", i), fmt.Sprintf("%d bytes, at most %d", n, l.maxPayload))
 		}
 	}
 	if j.Deadline == 0 {
-		j.Deadline = settings.Duration(l.deadline)
+		j.Deadline = settings.Duration(l.defaultDeadline)
 	}
 	return checkDeadline("deadline", j.Deadline.Std(), l)
 }
 
 func checkDeadline(field string, d time.Duration, l limits) error {
-	if d <= 0 || d > l.deadlineMost {
-		return errkind.NewField(errkind.InvalidRequest, field, fmt.Sprintf("%v is not in the range from 1ms to %v", d, l.deadlineMost))
+	if d <= 0 || d > l.maxDeadline {
+		return errkind.NewField(errkind.InvalidRequest, field, fmt.Sprintf("%v is not in the range from 1ms to %v", d, l.maxDeadline))
 	}
 	return nil
 }
@@ -143,8 +145,9 @@
 	return bytes.NewReader(ctx.PostBody())
 }
 
-// keyOf returns the idempotency key of a request; required ones must be given.
-func keyOf(ctx *fasthttp.RequestCtx, required bool) (string, error) {
+// idempotencyKey returns the idempotency key of a request; empty if there is none and none is
+// required.
+func idempotencyKey(ctx *fasthttp.RequestCtx, required bool) (string, error) {
 	key := string(ctx.Request.Header.Peek(headerKey))
 	if key == "" && !required {
 		return "", nil
@@ -156,11 +159,11 @@
 	return key, nil
 }
 
-// specs resolves the tasks of a job against the configuration.
-func (e *Entry) specs(conf *config.Compiled, tasks []taskBody) ([]dispatch.TaskSpec, error) {
+// resolveTasks resolves the tasks of a job against the configuration.
+func (e *Entry) resolveTasks(conf *config.Compiled, tasks []taskBody) ([]dispatch.TaskSpec, error) {
 	specs := make([]dispatch.TaskSpec, len(tasks))
 	for i := range tasks {
-		spec, err := e.spec(conf, fmt.Sprintf("tasks[%d].", i), &tasks[i])
+		spec, err := e.resolveTask(conf, fmt.Sprintf("tasks[%d].", i), &tasks[i])
 		if err != nil {
 			return nil, err
 		}
@@ -169,15 +172,17 @@
 	return specs, nil
 }
 
-func (e *Entry) spec(conf *config.Compiled, at string, t *taskBody) (dispatch.TaskSpec, error) {
+// resolveTask resolves one task against the configuration. path is the prefix of field names in
+// errors.
+func (e *Entry) resolveTask(conf *config.Compiled, path string, t *taskBody) (dispatch.TaskSpec, error) {
 	if !conf.HasService(t.Service) {
-		return dispatch.TaskSpec{}, errkind.NewField(errkind.InvalidRequest, at+"service", fmt.Sprintf("unknown service %q", t.Service))
+		return dispatch.TaskSpec{}, errkind.NewField(errkind.InvalidRequest, path+"service", fmt.Sprintf("unknown service %q", t.Service))
 	}
 	kind := conf.Kind(t.Service, t.Kind)
 	if kind == nil {
-		return dispatch.TaskSpec{}, errkind.NewField(errkind.InvalidRequest, at+"kind", fmt.Sprintf("service %q has no kind %q", t.Service, t.Kind))
+		return dispatch.TaskSpec{}, errkind.NewField(errkind.InvalidRequest, path+"kind", fmt.Sprintf("service %q has no kind %q", t.Service, t.Kind))
 	}
-	selector, err := e.selectors.parse(at+"selector", kind.ServiceSelector, t.Selector)
+	selector, err := e.selectors.parse(path+"selector", kind.ServiceSelector, t.Selector)
 	if err != nil {
 		return dispatch.TaskSpec{}, err
 	}
@@ -187,8 +192,9 @@
 	}, nil
 }
 
-// request builds the request of a team; tasks are resolved already.
-func (e *Entry) request(conf *config.Compiled, team, key string, digest uint64, deadline time.Duration, specs []dispatch.TaskSpec) *dispatch.Request {
+// newRequest returns a team's request for resolved tasks. It is claimed in the table service only if
+// it has an idempotency key.
+func (e *Entry) newRequest(conf *config.Compiled, team, key string, digest uint64, deadline time.Duration, specs []dispatch.TaskSpec) *dispatch.Request {
 	r := &dispatch.Request{
 		ID: e.nextID(), Team: team, Weight: 1, Digest: digest, Tasks: specs, Deadline: deadline,
 	}
@@ -199,7 +205,7 @@
 		}
 	}
 	if key == "" {
-		r.Submission = e.unkeyed(r.ID)
+		r.Submission = e.unkeyedName(r.ID)
 		return r
 	}
 	r.Claimed = true
@@ -207,9 +213,10 @@
 	return r
 }
 
-// storedRequest decodes the request kept in a claim; nil if there is none or
-// it can no longer be run.
-func (e *Entry) storedRequest(row *claim.Row) *dispatch.Request {
+// decodeStoredRequest returns the request stored in a claim; nil if there is none, or if it is not
+// valid under the limits and the configuration in force. Its deadline is at least
+// minResumeDeadline from now.
+func (e *Entry) decodeStoredRequest(row *claim.Row) *dispatch.Request {
 	var stored storedRequest
 	conf := e.watcher.Current()
 	if len(row.Request) == 0 || conf == nil || cbor.Unmarshal(row.Request, &stored) != nil {
@@ -219,32 +226,33 @@
 	if err != nil {
 		return nil
 	}
-	specs, err := e.specs(conf, job.Tasks)
+	specs, err := e.resolveTasks(conf, job.Tasks)
 	if err != nil {
 		return nil
 	}
 	_, key := claim.TeamOf(row.Submission)
-	remaining := max(time.Until(row.Deadline), resumeDeadline)
-	r := e.request(conf, stored.Team, key, digest, remaining, specs)
+	remaining := max(time.Until(row.Deadline), minResumeDeadline)
+	r := e.newRequest(conf, stored.Team, key, digest, remaining, specs)
 	r.Stored = row.Request
 	return r
 }
 
-// resumeDeadline is the least time a resumed submission gets.
-const resumeDeadline = 5 * time.Second
+// minResumeDeadline is the least time that a resumed submission gets.
+const minResumeDeadline = 5 * time.Second
 
-// selectorCache keeps parsed selectors by their text.
+// selectorCache caches parsed selectors by their text.
 type selectorCache struct {
 	mu     sync.RWMutex
 	parsed map[string]label.Selector
 }
 
-// maxSelectors bounds the cache.
+// maxSelectors is the number of entries at which the cache is cleared.
 const maxSelectors = 4096
 
 func (c *selectorCache) init() { c.parsed = make(map[string]label.Selector) }
 
-// parse returns the conjunction of a service's and a task's selector.
+// parse returns the conjunction of a service's and a task's selector. field is the name of the
+// offending input in errors.
 func (c *selectorCache) parse(field, service, task string) (label.Selector, error) {
 	text := service
 	if task != "" {
--- a/service/entry/decode_test.go
+++ b/service/entry/decode_test.go
@@ -10,15 +10,15 @@
 	"peridotpick.example/common/errkind"
 )
 
-var testLimits = limits{body: 1000, tasks: 3, payload: 100, deadline: time.Second, deadlineMost: time.Minute}
+var testLimits = limits{maxBody: 1000, maxTasks: 3, maxPayload: 100, defaultDeadline: time.Second, maxDeadline: time.Minute}
 
 func TestDecodeJob(t *testing.T) {
 	is := is.New(t)
 	text := `{"tasks":[{"service":"tally","kind":"scan","payload":{"grams": 7}}]}`
 	job, digest, err := decodeJob(strings.NewReader(text), testLimits)
 	is.NoErr(err)
-	is.Equal(string(job.Tasks[0].Payload), `{"grams": 7}`) // as it stands
-	is.Equal(job.Deadline.Std(), time.Second)              // the default
+	is.Equal(string(job.Tasks[0].Payload), `{"grams": 7}`) // bytes unchanged
+	is.Equal(job.Deadline.Std(), time.Second)              // the default deadline
 	_, same, err := decodeJob(strings.NewReader(text), testLimits)
 	is.NoErr(err)
 	is.Equal(digest, same)
@@ -44,7 +44,7 @@
 	}
 }
 
-// FuzzDecodeJob: whatever arrives is a job within the limits or a typed refusal.
+// FuzzDecodeJob checks that any body decodes to a job within the limits or to a typed error.
 func FuzzDecodeJob(f *testing.F) {
 	f.Add(`{"deadline":"2s","tasks":[{"service":"a","kind":"b","selector":"x in (y)","payload":[1]}]}`)
 	f.Add(`{"tasks":[null]}`)
@@ -57,8 +57,8 @@
 			}
 			return
 		}
-		if len(job.Tasks) == 0 || len(job.Tasks) > testLimits.tasks || job.Deadline <= 0 {
-			t.Fatalf("beyond the limits: %+v", job)
+		if len(job.Tasks) == 0 || len(job.Tasks) > testLimits.maxTasks || job.Deadline <= 0 {
+			t.Fatalf("job exceeds the limits: %+v", job)
 		}
 	})
 }
--- a/service/entry/entry.go
+++ b/service/entry/entry.go
@@ -1,11 +1,11 @@
-// Package entry wires the entry's decision core to sockets, timers and logs.
+// Package entry connects the entry's decision core to sockets, timers and logs.
 //
-// Goroutines by duty: the loop owns the core; each link to an agent has a
-// connector that reads and a writer; the claim store, the watcher of the
-// configuration, membership and the sweep have one each; callers' requests run
-// in those of the HTTP server. They meet at bounded rings. The loop never
-// blocks: a link whose ring is full is closed and opened anew, a claim that
-// does not fit is refused as not sent.
+// The event loop owns the core. Each link to an agent has two goroutines: a connector, which opens
+// the link and reads from it, and a writer. The claim store, the configuration watcher, the control
+// loop and power control have one goroutine each, and callers' requests run in the goroutines of the
+// HTTP server. Goroutines hand over work through bounded queues. The event loop never blocks: a link
+// whose send queue is full is closed and opened again, and a claim write that does not fit into the
+// queue of the claim store is reported to the core as not sent.
 package entry
 
 import (
@@ -37,23 +37,23 @@
 	"peridotpick.example/wire"
 )
 
-// Deps are what an entry needs from outside.
+// Deps are the dependencies of an entry.
 type Deps struct {
 	Logs      *logs.Sink
 	Table     table.Table
 	Objects   table.Objects
-	Workers   table.Workers // nil if the platform controls no power
+	Workers   table.Workers // nil if the platform cannot wake workers or put them to sleep
 	Transport *transport.Transport
 	Metrics   metrics.Registry
-	// Policy replaces the ranking policy, for comparisons; empty for the product's.
+	// Policy replaces the default ranking policy, for comparisons; empty for the default.
 	Policy rank.Policy
-	// Seed of the entry's random choices; 0 draws one.
+	// Seed seeds the entry's random choices; 0 selects a random seed.
 	Seed uint64
-	// Tune changes the core's settings, for experiments; may be nil.
+	// Tune modifies the core's settings, for experiments; may be nil.
 	Tune func(*dispatch.Settings)
 }
 
-// Entry is one running entry.
+// Entry is the gateway instance that callers speak to.
 type Entry struct {
 	settings *settings.Entry
 	deps     Deps
@@ -61,44 +61,48 @@
 	log      zerolog.Logger
 	routeLog zerolog.Logger
 
-	core    *dispatch.Core
-	events  *eventloop.Ring[*dispatch.Core]
-	pending map[uint64]chan *wire.Outcome
-	serial  atomic.Uint64
-
-	links    *linkManager
-	claims   *claimstore.Store
-	confs    *confwatch.Store
-	watcher  *confwatch.Watcher
-	registry *members.Registry
-	live     atomic.Pointer[[]wire.EntryInfo]
-	versions atomic.Pointer[map[string]uint64]
-	sleeping atomic.Pointer[[]table.Worker]
-
-	selectors selectorCache
-	refusals  refusalCounts
-	reads     chan struct{}
-	http      *fasthttp.Server
-	callers   *trackedListener
-	peers     net.Listener
-	draining  atomic.Bool
-	open      atomic.Int64
-	stats     atomic.Pointer[dispatch.Stats]
+	core   *dispatch.Core
+	events *eventloop.Ring[*dispatch.Core]
+	// waiters are the channels of requests that wait for an outcome, by request ID. Only the event
+	// loop uses them.
+	waiters map[uint64]chan *wire.Outcome
+	lastID  atomic.Uint64
 
+	links           *linkManager
+	claims          *claimstore.Store
+	configStore     *confwatch.Store
+	watcher         *confwatch.Watcher
+	registry        *members.Registry
+	liveEntries     atomic.Pointer[[]wire.EntryInfo]
+	configVersions  atomic.Pointer[map[string]uint64]
+	sleepingWorkers atomic.Pointer[[]table.Worker]
+
+	selectors      selectorCache
+	refusals       refusalCounts
+	claimReads     chan struct{}
+	httpServer     *fasthttp.Server
+	callerListener *trackedListener
+	peerListener   net.Listener
+	draining       atomic.Bool
+	openRequests   atomic.Int64
+	stats          atomic.Pointer[dispatch.Stats]
+
+	// work is canceled by abort and ends all goroutines of the entry.
 	work  context.Context
 	abort context.CancelFunc
 }
 
-// Sizes of the rings and pools.
+// Limits of queues and of concurrent work.
 const (
-	eventRing = 16384
-	// eventBatch bounds the events handled between two flushes.
+	// eventQueueSize is the number of events that may wait for the event loop.
+	eventQueueSize = 16384
+	// eventBatch bounds the events handled between two flushes of the core's output.
 	eventBatch = 512
-	// maxReads bounds concurrent look-ups of claims.
-	maxReads = 64
+	// maxClaimReads bounds concurrent reads of claims for the core.
+	maxClaimReads = 64
 )
 
-// New returns an entry that listens already; Run starts it.
+// New returns an entry whose listeners are open; Run starts it.
 func New(s *settings.Entry, deps Deps) (*Entry, error) {
 	callers, err := deps.Transport.ListenCallers(s.Listen)
 	if err != nil {
@@ -121,27 +125,28 @@
 	}
 	e := &Entry{
 		settings: s, deps: deps, log: deps.Logs.For(logs.Entry), routeLog: deps.Logs.For(logs.Route),
-		self:    wire.EntryInfo{ID: s.ID, Incarnation: incarnation.New(address), Address: address, DataCentre: s.DataCentre},
-		pending: make(map[uint64]chan *wire.Outcome),
-		reads:   make(chan struct{}, maxReads), callers: newTrackedListener(callers), peers: peers,
+		self:       wire.EntryInfo{ID: s.ID, Incarnation: incarnation.New(address), Address: address, DataCentre: s.DataCentre},
+		waiters:    make(map[uint64]chan *wire.Outcome),
+		claimReads: make(chan struct{}, maxClaimReads), callerListener: newTrackedListener(callers), peerListener: peers,
 	}
 	e.work, e.abort = context.WithCancel(context.Background())
-	e.events = eventloop.New[*dispatch.Core](eventRing, eventBatch, e.work.Done())
+	e.events = eventloop.New[*dispatch.Core](eventQueueSize, eventBatch, e.work.Done())
 	e.core = dispatch.New(e.coreSettings(nil), e.self, rand.New(rand.NewPCG(deps.Seed, deps.Seed)))
 	e.links = newLinkManager(e)
-	e.claims = claimstore.New(e.claimSettings(), deps.Table, deps.Objects, e.claimsWritten)
-	e.confs = confwatch.NewStore(deps.Table)
-	e.watcher = confwatch.NewWatcher(e.confs, deps.Logs.For(logs.Config), e.applyConfig, e.claims.Reachable)
+	e.claims = claimstore.New(e.claimSettings(), deps.Table, deps.Objects, e.handleWriteResults)
+	e.configStore = confwatch.NewStore(deps.Table)
+	e.watcher = confwatch.NewWatcher(e.configStore, deps.Logs.For(logs.Config), e.applyConfig, e.claims.Reachable)
 	e.registry = members.New(deps.Table, s.Region, e.self)
-	e.live.Store(&[]wire.EntryInfo{e.self})
-	e.versions.Store(&map[string]uint64{})
-	e.sleeping.Store(&[]table.Worker{})
+	e.liveEntries.Store(&[]wire.EntryInfo{e.self})
+	e.configVersions.Store(&map[string]uint64{})
+	e.sleepingWorkers.Store(&[]table.Worker{})
 	e.stats.Store(&dispatch.Stats{})
 	e.selectors.init()
-	e.http = e.newHTTPServer()
+	e.httpServer = e.newHTTPServer()
 	return e, nil
 }
 
+// claimSettings returns the settings of the claim store.
 func (e *Entry) claimSettings() claimstore.Settings {
 	s := claimstore.DefaultSettings()
 	s.Group.Budget = e.settings.Limits.WriteBudget
@@ -149,13 +154,14 @@
 	return s
 }
 
-// coreSettings derives the core's settings from the configuration in force.
-func (e *Entry) coreSettings(c *config.Compiled) dispatch.Settings {
+// coreSettings derives the core's settings from the configuration in force; conf is nil if there is
+// none yet.
+func (e *Entry) coreSettings(conf *config.Compiled) dispatch.Settings {
 	s := dispatch.DefaultSettings()
 	s.MaxWaiting = e.settings.Limits.MaxWaiting
-	if c != nil {
-		s.Weigh(c.Document.Policy.ResponseWeight)
-		s.Rank.Drained = c.Document.Drained
+	if conf != nil {
+		s.Weigh(conf.Document.Policy.ResponseWeight)
+		s.Rank.Drained = conf.Document.Drained
 	}
 	if e.deps.Policy != "" {
 		s.Rank.Policy = e.deps.Policy
@@ -166,11 +172,11 @@
 	return s
 }
 
-// applyConfig takes a new configuration version into force.
-func (e *Entry) applyConfig(c *config.Compiled) {
+// applyConfig puts a new configuration version in force in the core.
+func (e *Entry) applyConfig(conf *config.Compiled) {
 	e.post(func(core *dispatch.Core, _ time.Time) {
-		core.Configure(e.coreSettings(c))
-		core.SetConfigVersion(c.Version)
+		core.Configure(e.coreSettings(conf))
+		core.SetConfigVersion(conf.Version)
 	})
 }
 
@@ -178,9 +184,9 @@
 func (e *Entry) Info() wire.EntryInfo { return e.self }
 
 // Address returns the IP:port for callers.
-func (e *Entry) Address() string { return e.callers.Addr().String() }
+func (e *Entry) Address() string { return e.callerListener.Addr().String() }
 
-// Stats returns the core's counters, at most a second old.
+// Stats returns the core's counters as of the last publication, about a second ago at most.
 func (e *Entry) Stats() dispatch.Stats { return *e.stats.Load() }
 
 // Claims returns the state of the claim store.
@@ -189,8 +195,8 @@
 // Abort ends Run at once, without draining, as a crash of the process would.
 func (e *Entry) Abort() { e.abort() }
 
-// Run serves until ctx ends, then drains: it refuses new requests and answers
-// those in flight.
+// Run serves until ctx ends and then drains: the entry refuses new requests and answers those in
+// flight.
 func (e *Entry) Run(ctx context.Context) error {
 	e.log.Info().Str("entry", e.self.ID).Str("callers", e.Address()).Str("peers", e.self.Address).Msg("entry: started")
 	if e.settings.Dev {
@@ -198,57 +204,61 @@
 	}
 	abort := func() {
 		e.abort()
-		e.callers.closeAll()
+		e.callerListener.closeAll()
 	}
 	err := lifecycle.Run(ctx, lifecycle.Process{Work: e.work, Abort: abort, Drain: e.drain},
-		e.loop, e.claims.Run, e.watcher.Run, e.membership, e.power,
-		func(ctx context.Context) error { return transport.Serve(ctx, e.peers, wire.EntryHandler{Server: e}) },
+		e.runEventLoop, e.claims.Run, e.watcher.Run, e.runControl, e.runPowerControl,
+		func(ctx context.Context) error {
+			return transport.Serve(ctx, e.peerListener, wire.EntryHandler{Server: e})
+		},
 		func(context.Context) error { return e.serveHTTP() },
 	)
 	e.log.Info().Str("entry", e.self.ID).Msg("entry: stopped")
 	return err
 }
 
+// serveHTTP serves callers and operators. It returns nil if draining or abort closed the listener.
 func (e *Entry) serveHTTP() error {
-	err := e.http.Serve(e.callers)
+	err := e.httpServer.Serve(e.callerListener)
 	if e.work.Err() != nil || e.draining.Load() {
 		return nil
 	}
 	return err
 }
 
-// isIdle reports whether nothing is in flight.
+// isIdle reports whether no submission, waiter or HTTP request is open.
 func (e *Entry) isIdle() bool {
 	idle := make(chan bool, 1)
-	e.post(func(core *dispatch.Core, _ time.Time) { idle <- core.Open() == 0 && len(e.pending) == 0 })
+	e.post(func(core *dispatch.Core, _ time.Time) { idle <- core.Open() == 0 && len(e.waiters) == 0 })
 	select {
 	case is := <-idle:
-		return is && e.open.Load() == 0
+		return is && e.openRequests.Load() == 0
 	case <-e.work.Done():
 		return false
 	}
 }
 
-// drain gives the balancer time to send callers elsewhere, and then answers
-// what is in flight, within the limits of the settings.
+// drain gives the load balancer DrainNotice to direct callers to other entries, waits up to
+// DrainTimeout until all requests in flight are answered, shuts the HTTP server down and removes
+// the own row from the registry.
 func (e *Entry) drain(work context.Context) {
 	e.log.Info().Str("entry", e.self.ID).Msg("entry: draining")
 	e.draining.Store(true)
-	wait(work, e.settings.Limits.DrainNotice.Std())
+	sleep(work, e.settings.Limits.DrainNotice.Std())
 	e.post(func(core *dispatch.Core, _ time.Time) { core.Drain() })
 	lifecycle.AwaitIdle(work, e.settings.Limits.DrainTimeout.Std(), e.isIdle)
-	shut, cancel := context.WithTimeout(context.Background(), time.Second)
+	shutdown, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = e.http.ShutdownWithContext(shut)
-	if err := e.registry.Leave(shut); err != nil {
+	_ = e.httpServer.ShutdownWithContext(shutdown)
+	if err := e.registry.Leave(shutdown); err != nil {
 		e.log.Warn().Err(err).Msg("entry: own row not removed")
 	}
 }
 
-// nextID returns a number unique to this incarnation.
-func (e *Entry) nextID() uint64 { return e.serial.Add(1) }
+// nextID returns a request ID that is unique within this incarnation.
+func (e *Entry) nextID() uint64 { return e.lastID.Add(1) }
 
-// unkeyed returns the name of a submission without a caller's key.
-func (e *Entry) unkeyed(id uint64) string {
+// unkeyedName returns the name of a submission without an idempotency key.
+func (e *Entry) unkeyedName(id uint64) string {
 	return claim.Unkeyed(e.self.ID, strconv.FormatUint(e.self.Incarnation, 36)+"-"+strconv.FormatUint(id, 36))
 }
--- a/service/entry/jobs.go
+++ b/service/entry/jobs.go
@@ -17,67 +17,70 @@
 	"peridotpick.example/wire"
 )
 
-// preferAsync is the preference (RFC 7240) of a caller that polls later.
+// preferAsync is the preference (RFC 7240) of a caller that wants to poll for the outcome.
 const preferAsync = "respond-async"
 
-// postJob accepts a job and answers with its outcome.
-func (e *Entry) postJob(ctx *fasthttp.RequestCtx, who config.Identity) {
-	key, err := keyOf(ctx, true)
+// postJob submits a job and answers with its outcome, or at once if the caller prefers to poll.
+func (e *Entry) postJob(ctx *fasthttp.RequestCtx, identity config.Identity) {
+	key, err := idempotencyKey(ctx, true)
 	if err != nil {
 		writeError(ctx, err)
 		return
 	}
 	async := strings.Contains(string(ctx.Request.Header.Peek("Prefer")), preferAsync)
-	r, err := e.jobRequest(ctx, who.Name, key, async)
+	r, err := e.decodeJobRequest(ctx, identity.Name, key, async)
 	if err != nil {
 		writeError(ctx, err)
 		return
 	}
-	outcome := e.serve(r)
+	outcome := e.submitIfAllowed(r)
 	writeJob(ctx, key, outcome)
 }
 
-func (e *Entry) jobRequest(ctx *fasthttp.RequestCtx, team, key string, async bool) (*dispatch.Request, error) {
+// decodeJobRequest decodes a job. The body of an asynchronous one is stored with its claim, so that
+// another entry can resume it.
+func (e *Entry) decodeJobRequest(ctx *fasthttp.RequestCtx, team, key string, async bool) (*dispatch.Request, error) {
 	conf := e.watcher.Current()
-	var kept *keeper
+	var recorder *recordingReader
 	body := bodyStream(ctx)
 	if async {
-		kept = &keeper{r: body}
-		body = kept
+		recorder = &recordingReader{source: body}
+		body = recorder
 	}
 	job, digest, err := decodeJob(body, e.limits())
 	if err != nil {
 		return nil, err
 	}
-	specs, err := e.specs(conf, job.Tasks)
+	specs, err := e.resolveTasks(conf, job.Tasks)
 	if err != nil {
 		return nil, err
 	}
-	r := e.request(conf, team, key, digest, job.Deadline.Std(), specs)
+	r := e.newRequest(conf, team, key, digest, job.Deadline.Std(), specs)
 	if !async {
 		return r, nil
 	}
 	r.Async = true
-	r.Stored, err = cbor.Marshal(storedRequest{Team: team, Body: kept.data})
+	r.Stored, err = cbor.Marshal(storedRequest{Team: team, Body: recorder.data})
 	return r, err
 }
 
-// keeper keeps what is read through it.
-type keeper struct {
-	r    io.Reader
-	data []byte
+// recordingReader records all bytes that are read through it.
+type recordingReader struct {
+	source io.Reader
+	data   []byte
 }
 
 // Read implements io.Reader.
-func (k *keeper) Read(p []byte) (int, error) {
-	n, err := k.r.Read(p)
+func (k *recordingReader) Read(p []byte) (int, error) {
+	n, err := k.source.Read(p)
 	k.data = append(k.data, p[:n]...)
 	return n, err
 }
 
-// serve submits a request if this entry may take it.
-func (e *Entry) serve(r *dispatch.Request) *wire.Outcome {
-	if refusal := e.stale(r); refusal != nil {
+// submitIfAllowed submits a request unless the configuration is unconfirmed, and counts outcomes
+// that are refusals or failures.
+func (e *Entry) submitIfAllowed(r *dispatch.Request) *wire.Outcome {
+	if refusal := e.refuseIfUnconfirmed(r); refusal != nil {
 		e.refusals.add(refusal.Kind)
 		return refusal
 	}
@@ -88,9 +91,9 @@
 	return outcome
 }
 
-// stale refuses what must not run under a configuration that may be outdated.
-// Repeatable calls go on.
-func (e *Entry) stale(r *dispatch.Request) *wire.Outcome {
+// refuseIfUnconfirmed returns a refusal if the configuration may be outdated and the request is not
+// a call without a key whose tasks are all repeatable; else nil.
+func (e *Entry) refuseIfUnconfirmed(r *dispatch.Request) *wire.Outcome {
 	if e.watcher.Fresh(time.Now()) {
 		return nil
 	}
@@ -107,23 +110,24 @@
 	}
 }
 
-// postCall runs one task and answers with its result.
-func (e *Entry) postCall(ctx *fasthttp.RequestCtx, who config.Identity) {
-	r, err := e.callRequest(ctx, who.Name)
+// postCall submits a call, which is one task, and answers with its result.
+func (e *Entry) postCall(ctx *fasthttp.RequestCtx, identity config.Identity) {
+	r, err := e.decodeCallRequest(ctx, identity.Name)
 	if err != nil {
 		writeError(ctx, err)
 		return
 	}
-	writeCall(ctx, e.serve(r))
+	writeCall(ctx, e.submitIfAllowed(r))
 }
 
-func (e *Entry) callRequest(ctx *fasthttp.RequestCtx, team string) (*dispatch.Request, error) {
-	key, err := keyOf(ctx, false)
+// decodeCallRequest decodes a call. Its payload is the body, the rest is in the path and headers.
+func (e *Entry) decodeCallRequest(ctx *fasthttp.RequestCtx, team string) (*dispatch.Request, error) {
+	key, err := idempotencyKey(ctx, false)
 	if err != nil {
 		return nil, err
 	}
 	l := e.limits()
-	deadline := l.deadline
+	deadline := l.defaultDeadline
 	if text := string(ctx.Request.Header.Peek(headerDeadline)); text != "" {
 		if deadline, err = time.ParseDuration(text); err != nil {
 			return nil, errkind.NewField(errkind.InvalidRequest, headerDeadline, text+`: a duration such as "2s" is required`)
@@ -132,11 +136,11 @@
 	if err := checkDeadline(headerDeadline, deadline, l); err != nil {
 		return nil, err
 	}
-	payload, err := io.ReadAll(io.LimitReader(bodyStream(ctx), int64(l.payload)+1))
+	payload, err := io.ReadAll(io.LimitReader(bodyStream(ctx), int64(l.maxPayload)+1))
 	if err != nil {
 		return nil, errkind.NewField(errkind.InvalidRequest, "body", err.Error())
 	}
-	if len(payload) > l.payload {
+	if len(payload) > l.maxPayload {
 		return nil, errkind.NewField(errkind.TooLarge, "body", "the payload exceeds maxPayload")
 	}
 	task := taskBody{
@@ -144,16 +148,17 @@
 		Selector: string(ctx.Request.Header.Peek(headerSelector)), Payload: payload,
 	}
 	conf := e.watcher.Current()
-	spec, err := e.spec(conf, "", &task)
+	spec, err := e.resolveTask(conf, "", &task)
 	if err != nil {
 		return nil, err
 	}
 	digest := xxh3.HashString(task.Service + "\x00" + task.Kind + "\x00" + task.Selector + "\x00" + string(payload))
-	return e.request(conf, team, key, digest, deadline, []dispatch.TaskSpec{spec}), nil
+	return e.newRequest(conf, team, key, digest, deadline, []dispatch.TaskSpec{spec}), nil
 }
 
-// getJob answers with the outcome of a job, waiting for it up to ?wait=.
-func (e *Entry) getJob(ctx *fasthttp.RequestCtx, who config.Identity) {
+// getJob answers with the outcome of a job. It waits for the outcome for up to ?wait=, at most
+// maxPeerWait.
+func (e *Entry) getJob(ctx *fasthttp.RequestCtx, identity config.Identity) {
 	key := ctx.UserValue("key").(string)
 	var wait time.Duration
 	if text := string(ctx.QueryArgs().Peek("wait")); text != "" {
@@ -164,7 +169,7 @@
 		}
 		wait = parsed
 	}
-	outcome, err := e.findJob(claim.Keyed(who.Name, key), wait, false)
+	outcome, err := e.findJob(claim.Keyed(identity.Name, key), wait, false)
 	if err != nil {
 		writeError(ctx, err)
 		return
@@ -172,11 +177,11 @@
 	writeJob(ctx, key, outcome)
 }
 
-// cancelJob cancels a job and answers with its outcome, which may still be its
-// completion.
-func (e *Entry) cancelJob(ctx *fasthttp.RequestCtx, who config.Identity) {
+// cancelJob cancels a job. It answers with status 204 if the job was canceled, else with its outcome,
+// since the job may complete first.
+func (e *Entry) cancelJob(ctx *fasthttp.RequestCtx, identity config.Identity) {
 	key := ctx.UserValue("key").(string)
-	outcome, err := e.findJob(claim.Keyed(who.Name, key), maxPeerWait, true)
+	outcome, err := e.findJob(claim.Keyed(identity.Name, key), maxPeerWait, true)
 	if err != nil {
 		writeError(ctx, err)
 		return
@@ -188,9 +193,10 @@
 	writeJob(ctx, key, outcome)
 }
 
-// findJob returns the outcome of a submission, wherever it is; nil if it runs.
+// findJob returns the outcome of a submission from this entry, from its claim or from the entry that
+// owns it. The outcome is nil if the submission still runs or its owner does not answer.
 func (e *Entry) findJob(submission string, wait time.Duration, cancel bool) (*wire.Outcome, error) {
-	if outcome, ok := e.watch(submission, wait, cancel); ok {
+	if outcome, ok := e.awaitOutcome(submission, wait, cancel); ok {
 		return outcome, nil
 	}
 	row, _, err := e.claims.Read(e.work, submission)
@@ -207,14 +213,14 @@
 	case wait == 0 && !cancel:
 		return nil, nil
 	}
-	_, reply := e.askPeer(dispatch.PeerAwait{Submission: submission, Owner: row.Owner, Cancel: cancel})
+	_, reply := e.askOwner(dispatch.PeerAwait{Submission: submission, Owner: row.Owner, Cancel: cancel})
 	if reply == nil {
-		return nil, nil // its owner is out of reach: a resubmission or the sweep takes it over
+		return nil, nil // the owner is unreachable; a resubmission or the sweep takes the submission over
 	}
 	return reply.Outcome, nil
 }
 
-// jobSummary is one line of a team's list of jobs.
+// jobSummary is one job in a team's list of jobs.
 type jobSummary struct {
 	Key   string `json:"key"`
 	State string `json:"state"`
@@ -222,14 +228,14 @@
 	Owner string `json:"owner"`
 }
 
-// Bounds of a list.
+// Limits of the number of items in a list.
 const (
 	defaultListLimit = 100
 	maxListLimit     = 1000
 )
 
-// listJobs lists the jobs of the caller's team, by key.
-func (e *Entry) listJobs(ctx *fasthttp.RequestCtx, who config.Identity) {
+// listJobs lists jobs of the caller's team in the order of their keys, from the key after ?after=.
+func (e *Entry) listJobs(ctx *fasthttp.RequestCtx, identity config.Identity) {
 	limit, err := ctx.QueryArgs().GetUint("limit")
 	if errors.Is(err, fasthttp.ErrNoArgValue) {
 		limit, err = defaultListLimit, nil
@@ -238,7 +244,7 @@
 		writeError(ctx, errkind.NewField(errkind.InvalidRequest, "limit", "a number from 1 to 1000 is required"))
 		return
 	}
-	prefix := claim.TeamPrefix(who.Name)
+	prefix := claim.TeamPrefix(identity.Name)
 	rows, err := e.claims.ListTeam(e.work, prefix, string(ctx.QueryArgs().Peek("after")), limit)
 	if err != nil {
 		writeError(ctx, &errkind.Error{Kind: errkind.StoreUnavailable, Detail: "the jobs could not be listed", RetryAfter: time.Second})
@@ -247,18 +253,19 @@
 	list := make([]jobSummary, len(rows))
 	for i, row := range rows {
 		list[i] = jobSummary{
-			Key: strings.TrimPrefix(row.Submission, prefix), State: stateOf(row), Tasks: row.Tasks, Owner: row.Owner.ID,
+			Key: strings.TrimPrefix(row.Submission, prefix), State: jobState(row), Tasks: row.Tasks, Owner: row.Owner.ID,
 		}
 	}
 	writeJSON(ctx, fasthttp.StatusOK, list)
 }
 
-func stateOf(row *claim.Row) string {
+// jobState returns the state of the job of a claim.
+func jobState(row *claim.Row) string {
 	switch {
 	case row.Phase == claim.Running:
 		return stateRunning
 	case row.Phase == claim.Void:
-		return stateVoid
+		return stateNotRun
 	case row.Outcome == nil || row.Outcome.Kind == errkind.OK:
 		return stateComplete
 	}
--- a/service/entry/links.go
+++ b/service/entry/links.go
@@ -15,43 +15,46 @@
 	"peridotpick.example/wire"
 )
 
-// Limits and times of links to agents.
+// Limits and timeouts of links to agents.
 const (
-	linkRing    = 1024
-	dialTimeout = time.Second
-	// helloTimeout bounds the time to the first message of a link.
+	// sendQueueSize is the number of messages that may wait for the writer of a link.
+	sendQueueSize = 1024
+	dialTimeout   = time.Second
+	// helloTimeout bounds the exchange of the first messages on a link.
 	helloTimeout = 5 * time.Second
-	// retryMin and retryMax bound the pause before a link is opened again.
+	// retryMin and retryMax bound the pause between attempts to open a link, which doubles each time.
 	retryMin = 50 * time.Millisecond
 	retryMax = time.Second
-	// refusalsUntilGone is the number of refused connections in a row after
-	// which the agent's process has certainly ended.
-	refusalsUntilGone = 2
-	// unreachableUntilGone is how long an agent may be out of reach before it is
-	// given up. Work that it may hold is then in doubt.
-	unreachableUntilGone = 5 * time.Minute
-	// silenceLimit is the number of heartbeats missed after which a link is closed.
-	silenceLimit = 3
-	// minHeartbeat is the shortest silence allowed on a link.
+	// refusalsUntilEnded is the number of refused connections since the link was last up after which
+	// the agent's process has certainly ended.
+	refusalsUntilEnded = 2
+	// unreachableTimeout is the time after which an unreachable agent is given up. Tasks that it may
+	// have started are then in doubt.
+	unreachableTimeout = 5 * time.Minute
+	// maxMissedHeartbeats is the number of heartbeat intervals without a message from the agent after
+	// which its link is closed.
+	maxMissedHeartbeats = 3
+	// minHeartbeat is the shortest heartbeat interval.
 	minHeartbeat = 2 * time.Second
-	// heartbeatBytes is what one exchange costs on the network with headers, and
-	// heartbeatBudget what an entry may spend on all of them, in bytes a second.
+	// heartbeatBytes is the network traffic of one heartbeat exchange in bytes, packet headers
+	// included; heartbeatBudget is the traffic of all heartbeats of an entry in bytes per second.
 	heartbeatBytes  = 300
 	heartbeatBudget = 3072
 )
 
-// agentLink is an open link to an agent.
+// agentLink is an open link to an agent. lastReceived and lastSent are Unix times in nanoseconds of
+// the last messages.
 type agentLink struct {
-	id       dispatch.LinkID
-	agent    rank.ID
-	ring     chan *wire.ToAgent
-	done     chan struct{}
-	once     sync.Once
-	received atomic.Int64
-	sent     atomic.Int64
+	id           dispatch.LinkID
+	agent        rank.ID
+	sendQueue    chan *wire.ToAgent
+	done         chan struct{}
+	closeOnce    sync.Once
+	lastReceived atomic.Int64
+	lastSent     atomic.Int64
 }
 
-func (l *agentLink) close() { l.once.Do(func() { close(l.done) }) }
+func (l *agentLink) close() { l.closeOnce.Do(func() { close(l.done) }) }
 
 // linkManager opens links to announced agents and keeps them open.
 type linkManager struct {
@@ -59,9 +62,9 @@
 	nextID atomic.Uint64
 
 	mu sync.Mutex
-	// connectors are the agents that a connector works for.
+	// connectors are the agent incarnations for which a connector runs.
 	connectors map[rank.ID]bool
-	// links are the open ones.
+	// links are the open links.
 	links map[dispatch.LinkID]*agentLink
 }
 
@@ -69,14 +72,14 @@
 	return &linkManager{entry: e, connectors: make(map[rank.ID]bool), links: make(map[dispatch.LinkID]*agentLink)}
 }
 
-// count returns the number of open links.
-func (m *linkManager) count() int {
+// openLinks returns the number of open links.
+func (m *linkManager) openLinks() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.links)
 }
 
-// send hands a message to a link's writer, or closes a link that has fallen behind.
+// send queues a message for a link's writer. It closes the link if its send queue is full.
 func (m *linkManager) send(id dispatch.LinkID, msg *wire.ToAgent) {
 	m.mu.Lock()
 	l := m.links[id]
@@ -85,14 +88,14 @@
 		return
 	}
 	select {
-	case l.ring <- msg:
-		l.sent.Store(time.Now().UnixNano())
+	case l.sendQueue <- msg:
+		l.lastSent.Store(time.Now().UnixNano())
 	default:
 		l.close()
 	}
 }
 
-// broadcast sends a message to every agent.
+// broadcast sends a message to all linked agents.
 func (m *linkManager) broadcast(msg *wire.ToAgent) {
 	m.mu.Lock()
 	ids := make([]dispatch.LinkID, 0, len(m.links))
@@ -105,34 +108,35 @@
 	}
 }
 
-// heartbeat returns the silence allowed on each link, so that all together
-// stay within the budget.
-func (m *linkManager) heartbeat() time.Duration {
-	needed := time.Duration(float64(m.count()) * heartbeatBytes / heartbeatBudget * float64(time.Second))
+// heartbeatInterval returns the heartbeat interval of each link. It grows with the number of links,
+// so that all heartbeats together stay within heartbeatBudget.
+func (m *linkManager) heartbeatInterval() time.Duration {
+	needed := time.Duration(float64(m.openLinks()) * heartbeatBytes / heartbeatBudget * float64(time.Second))
 	return max(minHeartbeat, needed)
 }
 
-// heartbeats speaks on silent links and closes those whose agent is silent.
-func (m *linkManager) heartbeats(now time.Time) {
-	every := m.heartbeat()
-	var silent []dispatch.LinkID
+// checkLinks sends heartbeats on links on which nothing was sent for a heartbeat interval, and closes
+// links whose agent has missed maxMissedHeartbeats.
+func (m *linkManager) checkLinks(now time.Time) {
+	interval := m.heartbeatInterval()
+	var idle []dispatch.LinkID
 	m.mu.Lock()
 	for id, l := range m.links {
-		if now.Sub(time.Unix(0, l.received.Load())) > silenceLimit*every {
+		if now.Sub(time.Unix(0, l.lastReceived.Load())) > maxMissedHeartbeats*interval {
 			l.close()
 			continue
 		}
-		if now.Sub(time.Unix(0, l.sent.Load())) >= every {
-			silent = append(silent, id)
+		if now.Sub(time.Unix(0, l.lastSent.Load())) >= interval {
+			idle = append(idle, id)
 		}
 	}
 	m.mu.Unlock()
-	for _, id := range silent {
-		m.send(id, &wire.ToAgent{Heartbeat: every})
+	for _, id := range idle {
+		m.send(id, &wire.ToAgent{Heartbeat: interval})
 	}
 }
 
-// connect starts a connector for an agent unless there is one.
+// connect starts a connector for an agent incarnation unless one is running.
 func (m *linkManager) connect(id rank.ID, address string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -140,22 +144,23 @@
 		return
 	}
 	m.connectors[id] = true
-	go m.run(id, address)
+	go m.maintainLink(id, address)
 }
 
-// run keeps a link to one agent incarnation until that is gone.
-func (m *linkManager) run(id rank.ID, address string) {
+// maintainLink keeps a link to one agent incarnation open until the incarnation has ended or is given
+// up, and then reports that to the core.
+func (m *linkManager) maintainLink(id rank.ID, address string) {
 	ctx := m.entry.work
 	refusals := 0
 	pause := retryMin
 	lastUp := time.Now()
 	for ctx.Err() == nil {
-		err := m.serve(ctx, id, address, func() { lastUp = time.Now(); refusals = 0; pause = retryMin })
-		if refused(err) {
+		err := m.serveLink(ctx, id, address, func() { lastUp = time.Now(); refusals = 0; pause = retryMin })
+		if isConnectionRefused(err) {
 			refusals++
 		}
-		gone := errors.Is(err, errOtherAgent) || refusals >= refusalsUntilGone || time.Since(lastUp) > unreachableUntilGone
-		if gone {
+		ended := errors.Is(err, errOtherAgent) || refusals >= refusalsUntilEnded || time.Since(lastUp) > unreachableTimeout
+		if ended {
 			break
 		}
 		select {
@@ -170,17 +175,17 @@
 	m.entry.post(func(core *dispatch.Core, now time.Time) { core.AgentGone(now, id) })
 }
 
-// refused reports whether nothing listens at the address.
-func refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// isConnectionRefused reports whether nothing listens at the dialed address.
+func isConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// errOtherAgent means that another agent or incarnation has the address.
+// errOtherAgent reports that another agent or incarnation has the address.
 var errOtherAgent = eris.New("another agent answers at the address")
 
-// serve opens a link and serves it until it breaks.
-func (m *linkManager) serve(ctx context.Context, id rank.ID, address string, up func()) error {
-	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
+// serveLink opens a link and serves it until it fails. It calls onUp once the link is open.
+func (m *linkManager) serveLink(ctx context.Context, id rank.ID, address string, onUp func()) error {
+	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	conn, err := m.entry.deps.Transport.Dial(dialing, address)
+	conn, err := m.entry.deps.Transport.Dial(dialCtx, address)
 	if err != nil {
 		return err
 	}
@@ -191,33 +196,34 @@
 	if err != nil {
 		return err
 	}
-	told := *m.entry.live.Load()
-	first, err := m.greet(stream, stop, id, told)
+	sentEntries := *m.entry.liveEntries.Load()
+	first, err := m.exchangeHello(stream, stop, id, sentEntries)
 	if err != nil {
 		return err
 	}
-	up()
+	onUp()
 	l := &agentLink{
 		id: dispatch.LinkID(m.nextID.Add(1)), agent: id,
-		ring: make(chan *wire.ToAgent, linkRing), done: make(chan struct{}),
+		sendQueue: make(chan *wire.ToAgent, sendQueueSize), done: make(chan struct{}),
 	}
-	l.received.Store(time.Now().UnixNano())
-	l.sent.Store(time.Now().UnixNano())
-	m.open(l, first, told)
-	go m.write(linkCtx, stream, l, stop)
-	err = m.read(stream, l)
+	l.lastReceived.Store(time.Now().UnixNano())
+	l.lastSent.Store(time.Now().UnixNano())
+	m.addLink(l, first, sentEntries)
+	go m.writeLoop(linkCtx, stream, l, stop)
+	err = m.readLoop(stream, l)
 	l.close()
-	m.closed(l)
+	m.removeLink(l)
 	return err
 }
 
-// greet exchanges the first messages and checks that the right agent answers.
-func (m *linkManager) greet(stream wire.EntryStream, stop func(), id rank.ID, live []wire.EntryInfo) (*wire.ToEntry, error) {
+// exchangeHello exchanges the first messages and returns that of the agent. It returns
+// errOtherAgent if another agent or incarnation answers.
+func (m *linkManager) exchangeHello(stream wire.EntryStream, stop func(), id rank.ID, live []wire.EntryInfo) (*wire.ToEntry, error) {
 	timer := time.AfterFunc(helloTimeout, stop)
 	defer timer.Stop()
 	hello := &wire.Hello{
 		Entry: m.entry.self, Agent: id.Agent, Incarnation: id.Incarnation,
-		Heartbeat: m.heartbeat(), Entries: live,
+		Heartbeat: m.heartbeatInterval(), Entries: live,
 	}
 	if err := stream.Send(&wire.ToAgent{Hello: hello}); err != nil {
 		return nil, err
@@ -232,13 +238,13 @@
 	return first, nil
 }
 
-// open registers a link. An agent that was told of other entries than are alive
-// now has missed the broadcast of the change.
-func (m *linkManager) open(l *agentLink, first *wire.ToEntry, told []wire.EntryInfo) {
+// addLink registers a link. sentEntries are the live entries sent in the hello; if they have changed
+// since, the agent has missed the broadcast of the change and gets the new list here.
+func (m *linkManager) addLink(l *agentLink, first *wire.ToEntry, sentEntries []wire.EntryInfo) {
 	m.mu.Lock()
 	m.links[l.id] = l
 	m.mu.Unlock()
-	if live := *m.entry.live.Load(); !sameEntries(told, live) {
+	if live := *m.entry.liveEntries.Load(); !sameEntries(sentEntries, live) {
 		m.send(l.id, &wire.ToAgent{Entries: live})
 	}
 	m.entry.post(func(core *dispatch.Core, now time.Time) {
@@ -248,7 +254,8 @@
 	m.entry.log.Info().Str("agent", l.agent.Agent).Msg("entry: link up")
 }
 
-func (m *linkManager) closed(l *agentLink) {
+// removeLink unregisters a link that has ended.
+func (m *linkManager) removeLink(l *agentLink) {
 	m.mu.Lock()
 	delete(m.links, l.id)
 	m.mu.Unlock()
@@ -256,23 +263,24 @@
 	m.entry.log.Info().Str("agent", l.agent.Agent).Msg("entry: link down")
 }
 
-func (m *linkManager) read(stream wire.EntryStream, l *agentLink) error {
+// readLoop hands received messages to the core until the stream ends.
+func (m *linkManager) readLoop(stream wire.EntryStream, l *agentLink) error {
 	for {
 		msg, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		l.received.Store(time.Now().UnixNano())
+		l.lastReceived.Store(time.Now().UnixNano())
 		m.entry.post(func(core *dispatch.Core, now time.Time) { core.Receive(now, l.id, msg) })
 	}
 }
 
-// write sends what is in the link's ring. Its end makes the reader end too.
-func (m *linkManager) write(ctx context.Context, stream wire.EntryStream, l *agentLink, stop func()) {
+// writeLoop sends queued messages until the link closes. It then calls stop, which ends readLoop too.
+func (m *linkManager) writeLoop(ctx context.Context, stream wire.EntryStream, l *agentLink, stop func()) {
 	defer stop()
 	for {
 		select {
-		case msg := <-l.ring:
+		case msg := <-l.sendQueue:
 			if stream.Send(msg) != nil {
 				return
 			}
@@ -284,7 +292,7 @@
 	}
 }
 
-// sendTo sends a message to an agent if there is a link.
+// sendTo sends a message on the newest link to an agent, if there is one.
 func (m *linkManager) sendTo(agent rank.ID, msg *wire.ToAgent) {
 	m.mu.Lock()
 	var id dispatch.LinkID
--- a/service/entry/loop.go
+++ b/service/entry/loop.go
@@ -10,15 +10,15 @@
 	"peridotpick.example/wire"
 )
 
-// post hands an event to the loop, unless the entry has stopped.
+// post queues an event for the event loop, unless the entry has stopped.
 func (e *Entry) post(ev eventloop.Event[*dispatch.Core]) { e.events.Post(ev) }
 
-// statsEvery is how often counters are published and links are looked at.
-const statsEvery = time.Second
+// statsInterval is the period at which counters are published and links are checked.
+const statsInterval = time.Second
 
-// loop owns the core.
-func (e *Entry) loop(ctx context.Context) error {
-	ticker := time.NewTicker(statsEvery)
+// runEventLoop runs the event loop, the only goroutine that uses the core, until ctx ends.
+func (e *Entry) runEventLoop(ctx context.Context) error {
+	ticker := time.NewTicker(statsInterval)
 	defer ticker.Stop()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -30,15 +30,16 @@
 			e.events.Take(ev, e.core, time.Now())
 		case <-timer.C:
 		case now := <-ticker.C:
-			e.publish()
-			e.links.heartbeats(now)
+			e.publishStats()
+			e.links.checkLinks(now)
 		}
 		e.flush()
-		timer.Reset(e.untilTimer())
+		timer.Reset(e.timeUntilNextTimer())
 	}
 }
 
-func (e *Entry) untilTimer() time.Duration {
+// timeUntilNextTimer returns the time until the core's next timer is due; an hour if there is none.
+func (e *Entry) timeUntilNextTimer() time.Duration {
 	next := e.core.NextTimer()
 	if next.IsZero() {
 		return time.Hour
@@ -46,64 +47,64 @@
 	return max(0, time.Until(next))
 }
 
-// flush carries out what the core asks for, until it asks for nothing more.
+// flush executes the core's output, repeatedly if executing it gave the core new events.
 func (e *Entry) flush() {
 	for {
 		now := time.Now()
-		if again := e.perform(e.core.Flush(now), now); !again {
+		if hasNewEvents := e.perform(e.core.Flush(now), now); !hasNewEvents {
 			return
 		}
 	}
 }
 
-// perform carries out one output. It reports whether the core has new events
-// to act on.
-func (e *Entry) perform(out dispatch.Output, now time.Time) (again bool) {
+// perform executes one output of the core. It reports whether the core got new events meanwhile.
+func (e *Entry) perform(out dispatch.Output, now time.Time) (hasNewEvents bool) {
 	for _, send := range out.Sends {
 		e.links.send(send.Link, send.Msg)
 	}
 	for _, answer := range out.Answers {
-		if waiting := e.pending[answer.Request]; waiting != nil {
-			delete(e.pending, answer.Request)
-			waiting <- answer.Outcome
+		if waiter := e.waiters[answer.Request]; waiter != nil {
+			delete(e.waiters, answer.Request)
+			waiter <- answer.Outcome
 		}
 	}
 	if len(out.Writes) > 0 && !e.claims.Write(out.Writes) {
-		e.unsent(out.Writes, now)
-		again = true
+		e.reportNotSent(out.Writes, now)
+		hasNewEvents = true
 	}
 	for _, submission := range out.Reads {
 		if !e.startRead(submission) {
 			e.core.ClaimRead(now, submission, false, nil, 0)
-			again = true
+			hasNewEvents = true
 		}
 	}
 	for _, ask := range out.Awaits {
-		go e.awaitPeer(ask)
+		go e.awaitOwner(ask)
 	}
 	for _, dial := range out.Dials {
 		e.links.connect(dial.ID, dial.Address)
 	}
 	e.logDecisions(out.Decisions)
-	return again
+	return hasNewEvents
 }
 
-func (e *Entry) unsent(writes []claim.Write, now time.Time) {
+// reportNotSent reports claim writes to the core as not sent.
+func (e *Entry) reportNotSent(writes []claim.Write, now time.Time) {
 	for _, w := range writes {
 		e.core.ClaimWritten(now, claim.Result{Submission: w.Row.Submission, Nonce: w.Row.Nonce, Status: claim.NotSent})
 	}
 }
 
-// startRead looks a claim up in the background. It reports false if too many
-// look-ups are under way.
+// startRead reads a claim in a goroutine. It reports false, without effect, if maxClaimReads reads
+// are running already.
 func (e *Entry) startRead(submission string) bool {
 	select {
-	case e.reads <- struct{}{}:
+	case e.claimReads <- struct{}{}:
 	default:
 		return false
 	}
 	go func() {
-		defer func() { <-e.reads }()
+		defer func() { <-e.claimReads }()
 		row, version, err := e.claims.Read(e.work, submission)
 		e.post(func(core *dispatch.Core, now time.Time) {
 			core.ClaimRead(now, submission, err == nil, row, version)
@@ -112,8 +113,8 @@
 	return true
 }
 
-// claimsWritten receives the fates of claim writes.
-func (e *Entry) claimsWritten(results []claim.Result) {
+// handleWriteResults hands the results of claim writes to the core.
+func (e *Entry) handleWriteResults(results []claim.Result) {
 	e.post(func(core *dispatch.Core, now time.Time) {
 		for _, r := range results {
 			core.ClaimWritten(now, r)
@@ -121,33 +122,34 @@
 	})
 }
 
-// submit hands a request to the core and waits for its answer.
+// submit hands a request to the core and waits for its outcome; nil means that it still runs.
 func (e *Entry) submit(r *dispatch.Request) *wire.Outcome {
-	waiting := make(chan *wire.Outcome, 1)
+	waiter := make(chan *wire.Outcome, 1)
 	e.post(func(core *dispatch.Core, now time.Time) {
-		e.pending[r.ID] = waiting
+		e.waiters[r.ID] = waiter
 		core.Submit(now, r)
 	})
 	select {
-	case outcome := <-waiting:
+	case outcome := <-waiter:
 		return outcome
 	case <-e.work.Done():
-		return stopped()
+		return stoppedOutcome()
 	}
 }
 
-// watch waits for the end of a submission that this entry owns; ok is false
-// if it does not, and the outcome is nil if it did not end in time.
-func (e *Entry) watch(submission string, wait time.Duration, cancel bool) (outcome *wire.Outcome, ok bool) {
+// awaitOutcome waits for the outcome of a submission that this entry owns, after canceling it if
+// cancel is set. ok is false if this entry does not own it; the outcome is nil if the submission did
+// not end within wait.
+func (e *Entry) awaitOutcome(submission string, wait time.Duration, cancel bool) (outcome *wire.Outcome, ok bool) {
 	id := e.nextID()
-	waiting := make(chan *wire.Outcome, 1)
+	waiter := make(chan *wire.Outcome, 1)
 	known := make(chan bool, 1)
 	e.post(func(core *dispatch.Core, now time.Time) {
 		if !core.Watch(submission, id) {
 			known <- false
 			return
 		}
-		e.pending[id] = waiting
+		e.waiters[id] = waiter
 		if cancel {
 			core.Cancel(now, submission)
 		}
@@ -164,11 +166,11 @@
 		return nil, false
 	}
 	select {
-	case outcome := <-waiting:
+	case outcome := <-waiter:
 		return outcome, true
 	case <-timer.C:
 		e.post(func(core *dispatch.Core, _ time.Time) {
-			delete(e.pending, id)
+			delete(e.waiters, id)
 			core.Unwatch(submission, id)
 		})
 		return nil, true
@@ -177,7 +179,7 @@
 	}
 }
 
-// logDecisions writes one line for each decision.
+// logDecisions logs one line for each decision.
 func (e *Entry) logDecisions(decisions []dispatch.Decision) {
 	for i := range decisions {
 		d := &decisions[i]
@@ -199,32 +201,34 @@
 	}
 }
 
-// awaitWait bounds one question to the owner of a submission.
-const awaitWait = 5 * time.Second
+// ownerWait bounds the time for which the owner of a submission is asked to wait for the outcome.
+const ownerWait = 5 * time.Second
 
-// awaitPeer asks the owner of a submission for its outcome.
-func (e *Entry) awaitPeer(ask dispatch.PeerAwait) {
-	fate, reply := e.askPeer(ask)
+// awaitOwner asks the owner of a submission for its outcome and reports the answer to the core.
+func (e *Entry) awaitOwner(ask dispatch.PeerAwait) {
+	status, reply := e.askOwner(ask)
 	e.post(func(core *dispatch.Core, now time.Time) {
-		core.PeerReplied(now, ask.Submission, ask.Owner.Incarnation, fate, reply)
+		core.PeerReplied(now, ask.Submission, ask.Owner.Incarnation, status, reply)
 	})
 }
 
-func (e *Entry) askPeer(ask dispatch.PeerAwait) (dispatch.PeerFate, *wire.AwaitReply) {
-	dialing, cancelDial := context.WithTimeout(e.work, dialTimeout)
+// askOwner asks the owner of a submission for its outcome. The status is PeerRefused if the owner's
+// incarnation has certainly ended; the reply is nil unless the status is PeerAnswered.
+func (e *Entry) askOwner(ask dispatch.PeerAwait) (dispatch.PeerFate, *wire.AwaitReply) {
+	dialCtx, cancelDial := context.WithTimeout(e.work, dialTimeout)
 	defer cancelDial()
-	conn, err := e.deps.Transport.Dial(dialing, ask.Owner.Address)
+	conn, err := e.deps.Transport.Dial(dialCtx, ask.Owner.Address)
 	if err != nil {
-		if refused(err) {
+		if isConnectionRefused(err) {
 			return dispatch.PeerRefused, nil
 		}
 		return dispatch.PeerSilent, nil
 	}
 	defer func() { _ = conn.Close() }()
-	ctx, cancel := context.WithTimeout(e.work, awaitWait+dialTimeout)
+	ctx, cancel := context.WithTimeout(e.work, ownerWait+dialTimeout)
 	defer cancel()
 	reply, err := wire.Await(ctx, conn, &wire.AwaitRequest{
-		Submission: ask.Submission, Incarnation: ask.Owner.Incarnation, Cancel: ask.Cancel, Wait: awaitWait,
+		Submission: ask.Submission, Incarnation: ask.Owner.Incarnation, Cancel: ask.Cancel, Wait: ownerWait,
 	})
 	switch {
 	case err != nil:
--- a/service/entry/metrics.go
+++ b/service/entry/metrics.go
@@ -7,16 +7,16 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// publish copies the core's state into the metrics registry; called from the
-// loop once a second.
-func (e *Entry) publish() {
+// publishStats copies the core's state into the metrics registry. The event loop calls it every
+// statsInterval.
+func (e *Entry) publishStats() {
 	stats := e.core.Stats()
 	e.stats.Store(&stats)
-	e.gauge("core.open", int64(e.core.Open()))
-	e.gauge("core.waiting", int64(e.core.Waiting()))
-	e.gauge("core.links", int64(e.links.count()))
-	e.gauge("core.events", int64(e.events.Len()))
-	e.gauge("config.version", int64(e.configVersion()))
+	e.setGauge("core.open", int64(e.core.Open()))
+	e.setGauge("core.waiting", int64(e.core.Waiting()))
+	e.setGauge("core.links", int64(e.links.openLinks()))
+	e.setGauge("core.events", int64(e.events.Len()))
+	e.setGauge("config.version", int64(e.configVersion()))
 	counters := []struct {
 		name  string
 		value uint64
@@ -30,24 +30,24 @@
 		{"wasted.unmatched", stats.WastedUnmatched}, {"wasted.ack", stats.WastedAck},
 	}
 	for _, c := range counters {
-		e.gauge(c.name, int64(c.value))
+		e.setGauge(c.name, int64(c.value))
 	}
-	e.gauge("logs.dropped", e.deps.Logs.Dropped())
+	e.setGauge("logs.dropped", e.deps.Logs.Dropped())
 }
 
-func (e *Entry) gauge(name string, value int64) {
+func (e *Entry) setGauge(name string, value int64) {
 	metrics.GetOrRegisterGauge(name, e.deps.Metrics).Update(value)
 }
 
-// publishClaims copies the state of the claim store into the registry.
-func (e *Entry) publishClaims() {
+// publishClaimStats copies the state of the claim store into the metrics registry.
+func (e *Entry) publishClaimStats() {
 	ctx, cancel := context.WithTimeout(e.work, time.Second)
 	defer cancel()
 	s := e.claims.Snapshot(ctx)
-	e.gauge("claims.transactions", int64(s.Transactions))
-	e.gauge("claims.writes", int64(s.Writes))
-	e.gauge("claims.lost", int64(s.Lost))
-	e.gauge("claims.expired", int64(s.Expired))
-	e.gauge("claims.waiting", int64(s.Waiting))
+	e.setGauge("claims.transactions", int64(s.Transactions))
+	e.setGauge("claims.writes", int64(s.Writes))
+	e.setGauge("claims.lost", int64(s.Lost))
+	e.setGauge("claims.expired", int64(s.Expired))
+	e.setGauge("claims.waiting", int64(s.Waiting))
 	metrics.GetOrRegisterGaugeFloat64("claims.share", e.deps.Metrics).Update(s.Rate)
 }
--- a/service/entry/page.go
+++ b/service/entry/page.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	_ "embed" // the page
+	_ "embed" // for page.html
 	"html/template"
 	"time"
 
@@ -17,7 +17,7 @@
 
 var pageTemplate = template.Must(template.New("page").Parse(pageText))
 
-// pageData is what the operators' page shows.
+// pageData is the data of the operators' page; page.html refers to its fields by name.
 type pageData struct {
 	Entry     string
 	At        string
@@ -33,8 +33,8 @@
 func (e *Entry) getPage(ctx *fasthttp.RequestCtx, _ config.Identity) {
 	data := pageData{
 		Entry: e.self.ID, At: time.Now().UTC().Format(time.RFC3339), Config: e.configVersion(),
-		Fresh: e.watcher.Fresh(time.Now()), Workers: e.workersView(), Instances: e.instances(),
-		Teams: e.teams(), Refusals: e.refusals.byName(),
+		Fresh: e.watcher.Fresh(time.Now()), Workers: e.listWorkers(), Instances: e.listInstances(),
+		Teams: e.listTeams(), Refusals: e.refusals.byName(),
 	}
 	var page bytes.Buffer
 	if err := pageTemplate.Execute(&page, data); err != nil {
--- a/service/entry/power.go
+++ b/service/entry/power.go
@@ -18,57 +18,62 @@
 	"peridotpick.example/wire"
 )
 
-// Times of power control.
+// Intervals and limits of power control.
 const (
-	powerEvery = 500 * time.Millisecond
-	// inventoryEvery is the shortest pause between reads of the list of workers;
-	// a long list is read less often, so that the reads stay within a budget of
-	// inventoryBudget bytes a second at workerBytes for each worker.
-	inventoryEvery  = 2 * time.Second
-	inventoryBudget = 1024
-	workerBytes     = 250
-	// inventoryFresh is how old the list may be for a worker to be put to sleep.
-	inventoryFresh = 6 * time.Second
-	// restFor is how long an agent rests; it covers the time to drain and sleep.
-	restFor = 30 * time.Second
-	// defaultIdle is used if the configuration names no idle time.
+	// powerInterval is the pause between decisions.
+	powerInterval = 500 * time.Millisecond
+	// minListInterval is the shortest pause between reads of the worker list. A long list is read
+	// less often, so that the reads stay within listBudget, in bytes per second, at bytesPerWorker
+	// bytes for each worker.
+	minListInterval = 2 * time.Second
+	listBudget      = 1024
+	bytesPerWorker  = 250
+	// maxListAge is the age of the worker list up to which workers are put to sleep.
+	maxListAge = 6 * time.Second
+	// restDuration is the time for which an agent is asked to refuse new work before its worker
+	// sleeps. It covers the time to finish its tasks and to put the worker to sleep.
+	restDuration = 30 * time.Second
+	// defaultIdle is the idle time before sleep if the configuration has none.
 	defaultIdle = 30 * time.Second
-	// evenHomesUpTo is the number of workers up to which homes are dealt out in turn.
-	evenHomesUpTo = 64
+	// maxRoundRobinHomes is the number of workers up to which homes are assigned round-robin, which
+	// spreads few workers more evenly than rendezvous hashing.
+	maxRoundRobinHomes = 64
 )
 
-// powerControl is the goroutine that wakes workers and puts them to sleep.
+// powerControl wakes workers and puts them to sleep. Each worker has one entry, its home, that
+// decides on its power state.
 type powerControl struct {
-	entry   *Entry
-	log     zerolog.Logger
-	decider *wake.Decider
-	workers []table.Worker
-	readAt  time.Time
-	askedAt time.Time
+	entry           *Entry
+	log             zerolog.Logger
+	decider         *wake.Decider
+	workers         []table.Worker
+	listedAt        time.Time
+	lastListAttempt time.Time
 }
 
-// power runs the power control until ctx ends.
-func (e *Entry) power(ctx context.Context) error {
+// runPowerControl runs power control until ctx ends; it returns at once if the platform has none.
+func (e *Entry) runPowerControl(ctx context.Context) error {
 	if e.deps.Workers == nil {
 		return nil
 	}
 	p := &powerControl{entry: e, log: e.deps.Logs.For(logs.Power), decider: wake.New(wake.Params{})}
 	for ctx.Err() == nil {
 		p.step(ctx)
-		wait(ctx, powerEvery)
+		sleep(ctx, powerInterval)
 	}
 	return nil
 }
 
+// step reads the worker list if that is due, decides, and executes the decisions.
 func (p *powerControl) step(ctx context.Context) {
 	conf := p.entry.watcher.Current()
 	if conf == nil {
 		return
 	}
 	now := time.Now()
-	if now.Sub(p.askedAt) >= p.inventoryPause() {
-		p.askedAt = now
-		p.readInventory(ctx, now)
+	if now.Sub(p.lastListAttempt) >= p.listInterval() {
+		p.lastListAttempt = now
+		p.listWorkers(ctx, now)
 	}
 	if len(p.workers) == 0 {
 		return
@@ -79,38 +84,41 @@
 		params.IdleBeforeSleep = defaultIdle
 	}
 	p.decider.Configure(params)
-	demand, agents := p.look()
-	plan := p.decider.Decide(now, demand, p.home(agents), now.Sub(p.readAt) <= inventoryFresh)
-	p.perform(ctx, plan)
+	demand, agents := p.readDemand()
+	plan := p.decider.Decide(now, demand, p.homeWorkers(agents), now.Sub(p.listedAt) <= maxListAge)
+	p.execute(ctx, plan)
 }
 
-func (p *powerControl) inventoryPause() time.Duration {
-	needed := time.Duration(len(p.workers)*workerBytes) * time.Second / inventoryBudget
-	return max(inventoryEvery, needed)
+// listInterval returns the pause between reads of the worker list.
+func (p *powerControl) listInterval() time.Duration {
+	needed := time.Duration(len(p.workers)*bytesPerWorker) * time.Second / listBudget
+	return max(minListInterval, needed)
 }
 
-func (p *powerControl) readInventory(ctx context.Context, now time.Time) {
-	limited, cancel := context.WithTimeout(ctx, controlTimeout)
+// listWorkers reads the worker list and gives the core the backend servers of workers that are not
+// awake. After an error the previous list stays.
+func (p *powerControl) listWorkers(ctx context.Context, now time.Time) {
+	timeoutCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	workers, err := p.entry.deps.Workers.List(limited)
+	workers, err := p.entry.deps.Workers.List(timeoutCtx)
 	if err != nil {
 		p.log.Warn().Err(err).Msg("power: workers not listed, none is put to sleep")
 		return
 	}
-	p.workers, p.readAt = workers, now
+	p.workers, p.listedAt = workers, now
 	var sleeping []table.Worker
-	var inventory []dispatch.Asleep
+	var backends []dispatch.Asleep
 	for _, w := range workers {
 		if w.Power == table.Awake {
 			continue
 		}
 		sleeping = append(sleeping, w)
 		for _, service := range w.Services {
-			inventory = append(inventory, dispatch.Asleep{Service: service, Labels: workerLabels(w, p.entry.settings.Region)})
+			backends = append(backends, dispatch.Asleep{Service: service, Labels: workerLabels(w, p.entry.settings.Region)})
 		}
 	}
-	p.entry.sleeping.Store(&sleeping)
-	p.entry.post(func(core *dispatch.Core, _ time.Time) { core.SetInventory(inventory) })
+	p.entry.sleepingWorkers.Store(&sleeping)
+	p.entry.post(func(core *dispatch.Core, _ time.Time) { core.SetInventory(backends) })
 }
 
 // workerLabels returns the labels that the worker's agents will announce.
@@ -122,20 +130,21 @@
 	return labels
 }
 
-// agentPower is what the core knows of a worker's agent.
+// agentPower is what power control has to know about a worker's agent.
 type agentPower struct {
-	agent   rank.ID
+	agent rank.ID
+	// load is the larger of the reported load and the number of attempts in flight.
 	load    int
 	resting bool
 }
 
-// look asks the loop for the demand and the agents by worker.
-func (p *powerControl) look() (float64, map[string]agentPower) {
+// readDemand returns the demand, in slots, and the agents by worker ID, as the core knows them.
+func (p *powerControl) readDemand() (float64, map[string]agentPower) {
 	type answer struct {
 		demand float64
 		agents map[string]agentPower
 	}
-	got := make(chan answer, 1)
+	answers := make(chan answer, 1)
 	p.entry.post(func(core *dispatch.Core, _ time.Time) {
 		agents := make(map[string]agentPower)
 		for _, a := range core.Pool().Agents() {
@@ -143,20 +152,20 @@
 				agents[a.Worker] = agentPower{agent: a.ID, load: max(a.Reported, a.InFlight), resting: a.Leaving}
 			}
 		}
-		got <- answer{core.Demand(), agents}
+		answers <- answer{core.Demand(), agents}
 	})
 	select {
-	case a := <-got:
+	case a := <-answers:
 		return a.demand, a.agents
 	case <-p.entry.work.Done():
 		return 0, nil
 	}
 }
 
-// home lists the workers whose home is this entry.
-func (p *powerControl) home(agents map[string]agentPower) []wake.Worker {
-	names := make([]string, 0, len(*p.entry.live.Load()))
-	for _, e := range *p.entry.live.Load() {
+// homeWorkers returns the workers whose home is this entry.
+func (p *powerControl) homeWorkers(agents map[string]agentPower) []wake.Worker {
+	names := make([]string, 0, len(*p.entry.liveEntries.Load()))
+	for _, e := range *p.entry.liveEntries.Load() {
 		names = append(names, e.ID)
 	}
 	slices.Sort(names)
@@ -165,7 +174,7 @@
 	var list []wake.Worker
 	for i, w := range p.workers {
 		home := names[i%len(names)]
-		if len(p.workers) > evenHomesUpTo {
+		if len(p.workers) > maxRoundRobinHomes {
 			home = ring.Lookup(w.ID)
 		}
 		if home != p.entry.self.ID {
@@ -173,14 +182,15 @@
 		}
 		a, linked := agents[w.ID]
 		list = append(list, wake.Worker{
-			ID: w.ID, Power: powerOf(w.Power, linked), Slots: w.Slots, Linked: linked, Resting: linked && a.resting, Load: a.load,
+			ID: w.ID, Power: effectivePower(w.Power, linked), Slots: w.Slots, Linked: linked, Resting: linked && a.resting, Load: a.load,
 		})
 	}
 	return list
 }
 
-// powerOf counts a worker as awake only once its agent is linked.
-func powerOf(state table.PowerState, linked bool) wake.Power {
+// effectivePower returns the power state for decisions: a worker is awake only once its agent is
+// linked.
+func effectivePower(state table.PowerState, linked bool) wake.Power {
 	switch {
 	case linked:
 		return wake.Awake
@@ -190,24 +200,25 @@
 	return wake.Waking
 }
 
-func (p *powerControl) perform(ctx context.Context, plan wake.Plan) {
+// execute carries out a plan.
+func (p *powerControl) execute(ctx context.Context, plan wake.Plan) {
 	for _, id := range plan.Wake {
 		p.log.Info().Str("worker", id).Dur("wakeTime", p.decider.WakeTime()).Msg("power: worker woken")
-		p.change(ctx, id, p.entry.deps.Workers.Wake)
-		p.mark(id, table.Waking)
+		p.changePower(ctx, id, p.entry.deps.Workers.Wake)
+		p.setPowerState(id, table.Waking)
 	}
 	for _, id := range plan.Rest {
 		p.log.Info().Str("worker", id).Msg("power: worker asked to rest")
-		p.rest(id)
+		p.requestRest(id)
 	}
 	for _, id := range plan.Sleep {
 		p.log.Info().Str("worker", id).Msg("power: worker put to sleep")
-		p.change(ctx, id, p.entry.deps.Workers.Sleep)
+		p.changePower(ctx, id, p.entry.deps.Workers.Sleep)
 	}
 }
 
-// mark notes a state until the next list says otherwise.
-func (p *powerControl) mark(id string, state table.PowerState) {
+// setPowerState sets the power state of a worker until the next read of the worker list.
+func (p *powerControl) setPowerState(id string, state table.PowerState) {
 	for i := range p.workers {
 		if p.workers[i].ID == id {
 			p.workers[i].Power = state
@@ -215,20 +226,22 @@
 	}
 }
 
-func (p *powerControl) change(ctx context.Context, id string, do func(context.Context, string) error) {
-	limited, cancel := context.WithTimeout(ctx, controlTimeout)
+// changePower wakes a worker or puts it to sleep by calling change. Errors are only logged, since the next
+// decision repeats the change.
+func (p *powerControl) changePower(ctx context.Context, id string, change func(context.Context, string) error) {
+	timeoutCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	if err := do(limited, id); err != nil {
+	if err := change(timeoutCtx, id); err != nil {
 		p.log.Warn().Err(err).Str("worker", id).Msg("power: change not confirmed, it is tried again")
 	}
 }
 
-// rest asks the worker's agent to refuse new work for a while.
-func (p *powerControl) rest(worker string) {
+// requestRest asks the worker's agent to refuse new work for restDuration.
+func (p *powerControl) requestRest(worker string) {
 	p.entry.post(func(core *dispatch.Core, _ time.Time) {
 		for _, a := range core.Pool().Agents() {
 			if a.Worker == worker {
-				p.entry.links.sendTo(a.ID, &wire.ToAgent{RestFor: restFor})
+				p.entry.links.sendTo(a.ID, &wire.ToAgent{RestFor: restDuration})
 			}
 		}
 	})
