--- a/service/agent/agent.go
+++ b/service/agent/agent.go
@@ -1,10 +1,10 @@
-// Package agent wires the agent's decision core to sockets, timers and logs.
+// Package agent connects the agent's decision core to sockets, timers and logs.
 //
-// Goroutines by duty: the loop owns the core; each link has a reader and a
-// writer; each execution has one; the announcer keeps links to a subset of the
-// entries. They meet at bounded rings: events into the loop, messages out to
-// each link. The loop never blocks: a link whose ring is full is closed, and
-// its entry asks again on the next one.
+// The event loop owns the core. Each link to an entry has a reader and a writer, each task that runs
+// in the backend server has a goroutine, and the announcer maintains links to a subset of the
+// entries. Goroutines hand over work through bounded queues: events for the event loop, messages for
+// each link. The event loop never blocks: a link whose send queue is full is closed, and its entry
+// asks for what it missed on the next link.
 package agent
 
 import (
@@ -27,59 +27,62 @@
 	"peridotpick.example/wire"
 )
 
-// Sizes of the rings.
+// Sizes of the queues, in events and messages.
 const (
-	eventRing = 4096
-	linkRing  = 1024
+	eventQueueSize = 4096
+	sendQueueSize  = 1024
 )
 
-// Times of the agent's housekeeping.
+// Intervals and timeouts of the agent.
 const (
-	tickEvery = time.Second
-	// fenceMemory must exceed silenceLimit times the longest heartbeat.
-	fenceMemory     = 90 * time.Second
+	tickInterval = time.Second
+	// fenceMemory is the time for which the core keeps the epochs of ended submissions. It must exceed
+	// maxMissedHeartbeats times the longest heartbeat interval.
+	fenceMemory = 90 * time.Second
+	// resultRetention is the time after which a result is dropped that no entry has acknowledged.
 	resultRetention = 10 * time.Minute
-	// silenceLimit is the number of heartbeats missed after which a link is closed.
-	silenceLimit = 3
-	// leaveNotice is the time given to entries to learn that the agent leaves.
+	// maxMissedHeartbeats is the number of heartbeat intervals without a message from the entry after
+	// which its link is closed.
+	maxMissedHeartbeats = 3
+	// leaveNotice is the time for which a draining agent lets the notice of it reach the entries.
 	leaveNotice = 200 * time.Millisecond
 )
 
-// Deps are what an agent needs from outside.
+// Deps are the dependencies of an agent.
 type Deps struct {
 	Logs *logs.Sink
-	// Table is asked for entries when none of those known answers; may be nil.
+	// Table lists the live entries when no known entry answers; may be nil.
 	Table table.Table
-	// Transport reaches entries.
+	// Transport accepts links of entries and dials entries.
 	Transport *transport.Transport
 	Metrics   metrics.Registry
 }
 
-// Agent is one running agent.
+// Agent is the process beside a backend server that runs tasks there for the linked entries.
 type Agent struct {
-	settings  *settings.Agent
-	info      wire.AgentInfo
-	deps      Deps
-	log       zerolog.Logger
-	core      *agentcore.Core
-	events    chan event
-	links     map[agentcore.LinkID]*link
-	nextLink  atomic.Uint64
-	backend   *backend.Client
-	announcer *announcer
-	listener  net.Listener
-	running   atomic.Int64
-	started   metrics.Counter
-	finished  metrics.Counter
-	// work is the life of the agent; abort ends it.
+	settings        *settings.Agent
+	info            wire.AgentInfo
+	deps            Deps
+	log             zerolog.Logger
+	core            *agentcore.Core
+	events          chan event
+	links           map[agentcore.LinkID]*link
+	nextLink        atomic.Uint64
+	backend         *backend.Client
+	announcer       *announcer
+	listener        net.Listener
+	running         atomic.Int64
+	startedCounter  metrics.Counter
+	finishedCounter metrics.Counter
+	// work is canceled by abort and ends all goroutines of the agent.
 	work  context.Context
 	abort context.CancelFunc
 }
 
-// event is something that happened, for the loop.
+// event is a call of the core that the event loop makes; its output is executed afterwards.
 type event func(now time.Time) agentcore.Output
 
-// New returns an agent that listens already; Run starts it.
+// New returns an agent whose listener is open; Run starts it.
 func New(s *settings.Agent, deps Deps) (*Agent, error) {
 	listener, err := deps.Transport.Listen(s.Listen)
 	if err != nil {
@@ -91,7 +94,7 @@
 	}
 	info := wire.AgentInfo{
 		ID: s.ID, Incarnation: incarnation.New(address), Address: address, Worker: s.Worker,
-		DataCentre: s.DataCentre, Rack: s.Rack, Service: s.Service, Labels: allLabels(s),
+		DataCentre: s.DataCentre, Rack: s.Rack, Service: s.Service, Labels: announcedLabels(s),
 		Slots: s.Slots, Queue: s.Queue,
 	}
 	core := agentcore.New(agentcore.Settings{
@@ -102,18 +105,18 @@
 	}
 	a := &Agent{
 		settings: s, info: info, deps: deps, log: deps.Logs.For(logs.Agent), core: core,
-		events: make(chan event, eventRing), links: make(map[agentcore.LinkID]*link),
+		events: make(chan event, eventQueueSize), links: make(map[agentcore.LinkID]*link),
 		backend: backend.New(s.Backend, s.Connections), listener: listener,
-		started:  metrics.GetOrRegisterCounter("agent.started", deps.Metrics),
-		finished: metrics.GetOrRegisterCounter("agent.finished", deps.Metrics),
+		startedCounter:  metrics.GetOrRegisterCounter("agent.started", deps.Metrics),
+		finishedCounter: metrics.GetOrRegisterCounter("agent.finished", deps.Metrics),
 	}
 	a.work, a.abort = context.WithCancel(context.Background())
 	a.announcer = newAnnouncer(a)
 	return a, nil
 }
 
-// allLabels adds what the settings say of the place to the labels.
-func allLabels(s *settings.Agent) map[string]string {
+// announcedLabels returns the configured labels and those of the worker, data centre, rack and region.
+func announcedLabels(s *settings.Agent) map[string]string {
 	labels := make(map[string]string, len(s.Labels)+4)
 	for name, value := range s.Labels {
 		labels[name] = value
@@ -125,11 +128,11 @@
 	return labels
 }
 
-// Info returns what the agent announces.
+// Info returns the agent's identity and properties as it announces them.
 func (a *Agent) Info() wire.AgentInfo { return a.info }
 
-// Run serves until ctx ends, then drains: it refuses new work, finishes what
-// runs, and lets entries fetch the results.
+// Run serves until ctx ends and then drains: the agent refuses new work, finishes its tasks and
+// waits until entries have acknowledged the results.
 func (a *Agent) Run(ctx context.Context) error {
 	a.log.Info().Str("agent", a.info.ID).Str("address", a.info.Address).Uint64("incarnation", a.info.Incarnation).
 		Msg("agent: started")
@@ -137,7 +140,7 @@
 		return transport.Serve(work, a.listener, wire.AgentHandler{Server: a})
 	}
 	process := lifecycle.Process{Work: a.work, Abort: a.abort, Drain: a.drain}
-	err := lifecycle.Run(ctx, process, a.loop, serve, a.announcer.run)
+	err := lifecycle.Run(ctx, process, a.runEventLoop, serve, a.announcer.run)
 	a.log.Info().Str("agent", a.info.ID).Msg("agent: stopped")
 	return err
 }
@@ -145,6 +148,8 @@
 // Abort ends Run at once, without draining, as a crash of the process would.
 func (a *Agent) Abort() { a.abort() }
 
+// drain stops announcing, makes the core refuse new work and waits up to DrainTimeout until it is
+// idle.
 func (a *Agent) drain(work context.Context) {
 	a.log.Info().Str("agent", a.info.ID).Msg("agent: draining")
 	a.announcer.stop()
@@ -156,7 +161,7 @@
 	a.log.Warn().Str("agent", a.info.ID).Msg("agent: drain timed out")
 }
 
-// isIdle asks the loop whether nothing runs, and no result waits to be fetched.
+// isIdle reports whether the core has no tasks and no results that an entry has yet to acknowledge.
 func (a *Agent) isIdle() bool {
 	idle := make(chan bool, 1)
 	a.post(func(time.Time) agentcore.Output {
@@ -171,9 +176,9 @@
 	}
 }
 
-// loop owns the core.
-func (a *Agent) loop(ctx context.Context) error {
-	ticker := time.NewTicker(tickEvery)
+// runEventLoop runs the event loop, the only goroutine that uses the core, until ctx ends.
+func (a *Agent) runEventLoop(ctx context.Context) error {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -183,12 +188,12 @@
 			a.perform(e(time.Now()))
 		case now := <-ticker.C:
 			a.perform(a.core.Tick(now))
-			a.heartbeats(now)
+			a.checkLinks(now)
 		}
 	}
 }
 
-// post hands an event to the loop, unless the agent has stopped.
+// post queues an event for the event loop, unless the agent has stopped.
 func (a *Agent) post(e event) {
 	select {
 	case a.events <- e:
@@ -196,7 +201,7 @@
 	}
 }
 
-// perform carries out what the core asks for.
+// perform executes the core's output.
 func (a *Agent) perform(out agentcore.Output) {
 	for _, send := range out.Sends {
 		if l := a.links[send.Link]; l != nil {
@@ -211,28 +216,29 @@
 	}
 }
 
-// execute runs one attempt in the backend server and reports its end.
+// execute runs one attempt in the backend server and reports its end to the core.
 func (a *Agent) execute(e agentcore.Execution) {
-	a.started.Inc(1)
+	a.startedCounter.Inc(1)
 	a.running.Add(1)
 	done := a.backend.Run(e)
 	a.running.Add(-1)
-	a.finished.Inc(1)
+	a.finishedCounter.Inc(1)
 	a.log.Debug().Str("submission", e.ID.Submission).Uint32("task", e.ID.Index).Uint32("attempt", e.ID.Attempt).
 		Stringer("kind", done.Kind).Dur("run", done.RunTime).Msg("agent: task ended")
 	a.post(func(now time.Time) agentcore.Output { return a.core.Finished(now, e.ID, done) })
 }
 
-// heartbeats sends the load on silent links and closes those whose entry is silent.
-func (a *Agent) heartbeats(now time.Time) {
+// checkLinks sends the load on links on which nothing was sent for a heartbeat interval, and closes
+// links whose entry has missed maxMissedHeartbeats.
+func (a *Agent) checkLinks(now time.Time) {
 	for id, l := range a.links {
-		every := time.Duration(l.heartbeat.Load())
-		if now.Sub(l.lastReceived()) > silenceLimit*every {
+		interval := time.Duration(l.heartbeatInterval.Load())
+		if now.Sub(l.lastReceived()) > maxMissedHeartbeats*interval {
 			a.log.Warn().Str("entry", l.entry.ID).Msg("agent: entry is silent, link closed")
 			l.close()
 			continue
 		}
-		if now.Sub(l.lastSent()) >= every {
+		if now.Sub(l.lastSent()) >= interval {
 			a.perform(a.core.Heartbeat(now, id))
 		}
 	}
--- a/service/agent/announcer.go
+++ b/service/agent/announcer.go
@@ -14,158 +14,166 @@
 	"peridotpick.example/wire"
 )
 
-// Times of announcing.
+// Intervals and timeouts of announcements.
 const (
-	// announceEvery is the pause between rounds while a link is missing.
-	announceEvery = 500 * time.Millisecond
-	// settledEvery is the pause while all links stand.
-	settledEvery = 2 * time.Second
+	// announceInterval is the pause between rounds of announcements while a link is missing.
+	announceInterval = 500 * time.Millisecond
+	// linkedInterval is the pause while all wanted links are open.
+	linkedInterval = 2 * time.Second
 	// announceTimeout bounds one announcement.
 	announceTimeout = time.Second
-	// askTableAfter is how long no entry has to answer before the table
-	// service is asked for the live entries.
-	askTableAfter = 3 * time.Second
+	// tableFallbackDelay is the time without an answer from any entry after which the live entries
+	// are read from the table service.
+	tableFallbackDelay = 3 * time.Second
 )
 
-// announcer keeps links to a subset of the live entries, chosen by rendezvous
-// hashing, so that each entry gets an even share of the agents and few links
-// move when an entry comes or goes.
+// announcer maintains links to a subset of the live entries. It announces the agent to the wanted
+// entries that have no link, and they open the links. Rendezvous hashing chooses the subset, so that
+// each entry gets an even share of the agents and few links move when an entry comes or goes.
 type announcer struct {
 	agent *Agent
 
 	mu sync.Mutex
-	// told is the newest list of live entries of each linked entry. All lists
-	// together count, since any one may be older than a change.
-	told map[string][]wire.EntryInfo
-	// hearsay is the newest list from elsewhere; it counts while there is no link.
-	hearsay []wire.EntryInfo
-	links   map[string]int
-	heard   time.Time
-	halted  bool
+	// listsByEntry is the newest list of live entries from each linked entry, by link key. The union
+	// of the lists is used, since any one of them may be outdated.
+	listsByEntry map[string][]wire.EntryInfo
+	// fallbackList is the newest list from answers to announcements or from the table service. It is
+	// used while no linked entry has sent a list.
+	fallbackList []wire.EntryInfo
+	linkCounts   map[string]int
+	lastUpdate   time.Time
+	stopped      bool
 }
 
 func newAnnouncer(a *Agent) *announcer {
-	return &announcer{agent: a, told: make(map[string][]wire.EntryInfo), links: make(map[string]int), heard: time.Now()}
+	return &announcer{agent: a, listsByEntry: make(map[string][]wire.EntryInfo), linkCounts: make(map[string]int), lastUpdate: time.Now()}
 }
 
-// key identifies an entry by address, since an address holds one entry at a time.
-func key(e wire.EntryInfo) string { return e.Address }
+// linkKey returns the key of an entry in the maps: its address, which one entry has at a time.
+func linkKey(e wire.EntryInfo) string { return e.Address }
 
-func (n *announcer) linked(entry wire.EntryInfo, entries []wire.EntryInfo) {
+// addLink registers a link of an entry and the list of live entries that came with it.
+func (n *announcer) addLink(entry wire.EntryInfo, entries []wire.EntryInfo) {
 	n.mu.Lock()
-	n.links[key(entry)]++
+	n.linkCounts[linkKey(entry)]++
 	n.mu.Unlock()
-	n.learn(entry, entries)
+	n.updateFromLink(entry, entries)
 }
 
-func (n *announcer) unlinked(entry wire.EntryInfo) {
+// removeLink unregisters a link of an entry. With the last link its list is dropped too.
+func (n *announcer) removeLink(entry wire.EntryInfo) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.links[key(entry)]--
-	if n.links[key(entry)] <= 0 {
-		delete(n.links, key(entry))
-		delete(n.told, key(entry))
+	n.linkCounts[linkKey(entry)]--
+	if n.linkCounts[linkKey(entry)] <= 0 {
+		delete(n.linkCounts, linkKey(entry))
+		delete(n.listsByEntry, linkKey(entry))
 	}
 }
 
-// learn takes the list of a linked entry.
-func (n *announcer) learn(from wire.EntryInfo, entries []wire.EntryInfo) {
+// updateFromLink replaces the list of a linked entry; it ignores empty lists and unlinked entries.
+func (n *announcer) updateFromLink(from wire.EntryInfo, entries []wire.EntryInfo) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(entries) > 0 && n.links[key(from)] > 0 {
-		n.heard = time.Now()
-		n.told[key(from)] = entries
+	if len(entries) > 0 && n.linkCounts[linkKey(from)] > 0 {
+		n.lastUpdate = time.Now()
+		n.listsByEntry[linkKey(from)] = entries
 	}
 }
 
-// hear takes a list from elsewhere.
-func (n *announcer) hear(entries []wire.EntryInfo) {
+// updateFallback replaces the fallback list; it ignores empty lists.
+func (n *announcer) updateFallback(entries []wire.EntryInfo) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(entries) > 0 {
-		n.heard = time.Now()
-		n.hearsay = entries
+		n.lastUpdate = time.Now()
+		n.fallbackList = entries
 	}
 }
 
-// known returns the addresses of all entries known to be alive, sorted.
-func (n *announcer) known() []string {
-	lists := [][]wire.EntryInfo{n.hearsay}
-	if len(n.told) > 0 {
+// knownAddresses returns the addresses of all entries known to be alive, sorted and distinct. The
+// caller holds mu.
+func (n *announcer) knownAddresses() []string {
+	lists := [][]wire.EntryInfo{n.fallbackList}
+	if len(n.listsByEntry) > 0 {
 		lists = lists[:0]
-		for _, list := range n.told {
+		for _, list := range n.listsByEntry {
 			lists = append(lists, list)
 		}
 	}
 	var all []string
 	for _, list := range lists {
 		for _, e := range list {
-			all = append(all, key(e))
+			all = append(all, linkKey(e))
 		}
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
+// stop ends announcing. Open links stay.
 func (n *announcer) stop() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.halted = true
+	n.stopped = true
 }
 
-// missing returns the chosen entries that have no link, and whether all that
-// is known has been silent for so long that the table should be asked.
-func (n *announcer) missing() (addresses []string, askTable bool) {
+// missingLinks returns the addresses of wanted entries that have no link. askTable reports whether
+// the table service should be read, since there is no link and no entry has answered for
+// tableFallbackDelay.
+func (n *announcer) missingLinks() (addresses []string, askTable bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.halted {
+	if n.stopped {
 		return nil, false
 	}
-	for _, address := range n.chosen() {
-		if n.links[address] == 0 {
+	for _, address := range n.wantedAddresses() {
+		if n.linkCounts[address] == 0 {
 			addresses = append(addresses, address)
 		}
 	}
-	lonely := len(n.links) == 0 && time.Since(n.heard) > askTableAfter
-	return addresses, lonely
+	needsTable := len(n.linkCounts) == 0 && time.Since(n.lastUpdate) > tableFallbackDelay
+	return addresses, needsTable
 }
 
-// chosen returns the addresses of the entries to be linked to.
-func (n *announcer) chosen() []string {
-	all := n.known()
+// wantedAddresses returns the addresses of the entries to link to: a subset of the known ones, or
+// those of the settings while none is known. The caller holds mu.
+func (n *announcer) wantedAddresses() []string {
+	all := n.knownAddresses()
 	if len(all) == 0 {
 		return n.agent.settings.Entries
 	}
-	return Subset(n.agent.info.ID, all, n.agent.settings.Fanout)
+	return subset(n.agent.info.ID, all, n.agent.settings.Fanout)
 }
 
-// Subset returns the n entries that rank highest for the agent by rendezvous hashing.
-func Subset(agent string, entries []string, n int) []string {
+// subset returns the n entries that rank highest for the agent by rendezvous hashing.
+func subset(agent string, entries []string, n int) []string {
 	if len(entries) <= n {
 		return entries
 	}
-	rest := slices.Clone(entries)
-	picked := make([]string, 0, n)
+	remaining := slices.Clone(entries)
+	chosen := make([]string, 0, n)
 	for range n {
-		// A new ring each time: the library's Remove breaks its own index.
-		top := rendezvous.New(rest, xxh3.HashString).Lookup(agent)
-		picked = append(picked, top)
-		rest = slices.DeleteFunc(rest, func(name string) bool { return name == top })
+		// Each round builds a new ring, since the library's Remove corrupts the ring's index.
+		top := rendezvous.New(remaining, xxh3.HashString).Lookup(agent)
+		chosen = append(chosen, top)
+		remaining = slices.DeleteFunc(remaining, func(name string) bool { return name == top })
 	}
-	return picked
+	return chosen
 }
 
-// informed reports whether the live entries are known.
-func (n *announcer) informed() bool {
+// knowsEntries reports whether any list of live entries has arrived.
+func (n *announcer) knowsEntries() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.known()) > 0
+	return len(n.knownAddresses()) > 0
 }
 
+// run announces the agent to entries until ctx ends.
 func (n *announcer) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		knew := n.informed()
-		addresses, askTable := n.missing()
+		knewEntries := n.knowsEntries()
+		addresses, askTable := n.missingLinks()
 		var round sync.WaitGroup
 		for _, address := range addresses {
 			round.Add(1)
@@ -176,13 +184,13 @@
 		}
 		round.Wait()
 		if askTable {
-			n.askTable(ctx)
+			n.readTable(ctx)
 		}
-		pause := settledEvery
+		pause := linkedInterval
 		if len(addresses) > 0 {
-			pause = announceEvery
+			pause = announceInterval
 		}
-		if !knew && n.informed() {
+		if !knewEntries && n.knowsEntries() {
 			pause = 0
 		}
 		select {
@@ -193,6 +201,7 @@
 	return nil
 }
 
+// announce announces the agent to one entry and takes the list of live entries from its answer.
 func (n *announcer) announce(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
@@ -201,16 +210,16 @@
 		return
 	}
 	defer func() { _ = conn.Close() }()
-	// Which entries to link to is chosen among all; the first question is who they are.
-	reply, err := wire.Announce(ctx, conn, &wire.AnnounceRequest{Agent: n.agent.info, OnlyEntries: !n.informed()})
+	// The subset is chosen among all live entries, so the first announcement only asks for them.
+	reply, err := wire.Announce(ctx, conn, &wire.AnnounceRequest{Agent: n.agent.info, OnlyEntries: !n.knowsEntries()})
 	if err != nil {
 		return
 	}
-	n.hear(reply.Entries)
+	n.updateFallback(reply.Entries)
 }
 
-// askTable learns the live entries from the platform when none is reachable.
-func (n *announcer) askTable(ctx context.Context) {
+// readTable reads the live entries from the table service. Rows that cannot be decoded are skipped.
+func (n *announcer) readTable(ctx context.Context) {
 	if n.agent.deps.Table == nil {
 		return
 	}
@@ -227,5 +236,5 @@
 			entries = append(entries, member.Entry)
 		}
 	}
-	n.hear(entries)
+	n.updateFallback(entries)
 }
