--- a/service/members/members.go
+++ b/service/members/members.go
@@ -1,15 +1,14 @@
-// Package members makes entries known to each other through a few rows of the
-// table service, and finds entries that are lost.
+// Package members is the registry of a region's entries, with one row per entry in the table
+// service. It tells which entries are alive and detects lost ones.
 //
-// Each entry renews its row every RenewEvery. Whether another entry is alive is
-// judged by whether its row changes within DeadAfter on the observer's own
-// clock, so that clocks need not agree. An entry whose row has not changed is
-// marked dead by compare-and-set; a renewal that races it wins or is told. The
-// dead row stays until no claim of the incarnation is left, so that a sweep
-// that is cut short is taken up by another entry.
+// Each entry renews its row every RenewEvery. An entry counts as alive if its row changes within
+// DeadAfter on the observer's own clock, so that clocks need not agree. An entry whose row has not
+// changed is lost, and is marked dead by a conditional write; a concurrent renewal either makes that
+// write fail or conflicts itself. The row of a dead entry stays until its incarnation owns no claim,
+// so that another entry continues a sweep of its claims that is interrupted.
 //
-// Being judged dead wrongly is harmless: claims are taken over one by one,
-// under the next epoch, and agents are fenced first.
+// An entry that is marked dead while it is alive does no harm: claims are taken over one at a time,
+// under the next epoch, after agents have been fenced.
 package members
 
 import (
@@ -24,77 +23,77 @@
 	"peridotpick.example/wire"
 )
 
-// Times of membership.
+// Intervals and timeouts of membership.
 const (
-	// RenewEvery is the pause between renewals of a row.
+	// RenewEvery is the period of renewals of the own row.
 	RenewEvery = 3 * time.Second
-	// LookEvery is the pause between looks at the other rows.
+	// LookEvery is the period of reads of the rows of all entries.
 	LookEvery = 3 * time.Second
-	// DeadAfter is how long a row may stay unchanged.
+	// DeadAfter is the time for which a row may stay unchanged before its entry counts as lost.
 	DeadAfter = 12 * time.Second
 )
 
-// MaxEntries bounds the entries of a region.
+// MaxEntries is the largest number of entries of a region.
 const MaxEntries = 256
 
-// prefix of the rows of entries.
-const prefix = "entries/"
+// keyPrefix is the key prefix of the rows of entries.
+const keyPrefix = "entries/"
 
 // Prefix returns the key prefix of a region's entries.
-func Prefix(region string) string { return prefix + region + "/" }
+func Prefix(region string) string { return keyPrefix + region + "/" }
 
 // Row is the content of an entry's row.
 type Row struct {
 	Entry wire.EntryInfo `json:"entry"`
-	// Beat grows with each renewal.
-	Beat uint64 `json:"beat"`
+	// Renewals is the number of renewals of the row, so that each renewal changes it.
+	Renewals uint64 `json:"beat"`
 	// Config is the configuration version in force at the entry.
 	Config uint64 `json:"config"`
-	// Dead is set by another entry that found the row unchanged for too long.
+	// Dead is set by another entry that found the row unchanged for longer than DeadAfter.
 	Dead bool `json:"dead,omitempty"`
 }
 
-// seen is the newest state of a row and since when it stands.
-type seen struct {
-	row     Row
-	version uint64
-	since   time.Time
+// observedRow is the last state read of a row and the time at which it was first read.
+type observedRow struct {
+	row            Row
+	version        uint64
+	unchangedSince time.Time
 }
 
-// Registry is one entry's view of the entries of its region. One goroutine
-// owns it.
+// Registry is one entry's view of the entries of its region. It is not safe for concurrent use.
 type Registry struct {
-	table  table.Table
-	region string
-	self   wire.EntryInfo
-	beat   uint64
-	// version of the own row; 0 if it is not known to exist.
+	table    table.Table
+	region   string
+	self     wire.EntryInfo
+	renewals uint64
+	// version is the table version of the own row; 0 if the row is not known to exist.
 	version uint64
-	others  map[string]seen
+	// peers are the last read rows of the other entries, by entry ID.
+	peers map[string]observedRow
 }
 
 // New returns the registry of an entry.
 func New(t table.Table, region string, self wire.EntryInfo) *Registry {
-	return &Registry{table: t, region: region, self: self, others: make(map[string]seen)}
+	return &Registry{table: t, region: region, self: self, peers: make(map[string]observedRow)}
 }
 
 func (r *Registry) key(id string) string { return Prefix(r.region) + id }
 
 // Renewal is the result of a Renew.
 type Renewal struct {
-	// Sent is when the renewal was sent: the lease counts from there.
+	// Sent is the time at which the renewal was sent, from which the entry's lease counts.
 	Sent time.Time
-	// Previous is another incarnation whose row was replaced, or nil.
+	// Previous is the other incarnation of this entry whose row was replaced, or nil.
 	Previous *wire.EntryInfo
 }
 
-// Renew writes the own row. An error leaves open whether it took effect; the
-// next call finds out.
+// Renew writes the own row with a configuration version. After an error the write may have taken
+// effect; the next call handles both cases.
 func (r *Registry) Renew(ctx context.Context, now time.Time, config uint64) (Renewal, error) {
-	r.beat++
-	row := Row{Entry: r.self, Beat: r.beat, Config: config}
+	r.renewals++
+	row := Row{Entry: r.self, Renewals: r.renewals, Config: config}
 	renewal := Renewal{Sent: now}
-	for range renewTries {
+	for range maxRenewAttempts {
 		commit, err := r.table.Commit(ctx, []table.Op{{Key: r.key(r.self.ID), Value: encode(row), IfVersion: r.version}})
 		if err != nil {
 			return renewal, eris.Wrap(err, "renew own row")
@@ -109,16 +108,16 @@
 			continue
 		}
 		r.version = current.Version
-		renewal.Previous = r.previous(current)
+		renewal.Previous = r.previousIncarnation(current)
 	}
-	return renewal, eris.New("own row keeps changing")
+	return renewal, eris.New("own row changed during each attempt to renew it")
 }
 
-// renewTries bounds the attempts to replace a changed row.
-const renewTries = 3
+// maxRenewAttempts bounds the attempts of one renewal to replace a row that has changed.
+const maxRenewAttempts = 3
 
-// previous returns the other incarnation that the row belongs to, or nil.
-func (r *Registry) previous(current *table.Row) *wire.EntryInfo {
+// previousIncarnation returns the other incarnation of this entry that wrote the row, or nil.
+func (r *Registry) previousIncarnation(current *table.Row) *wire.EntryInfo {
 	var old Row
 	if json.Unmarshal(current.Value, &old) != nil || old.Entry.Incarnation == r.self.Incarnation {
 		return nil
@@ -126,6 +125,7 @@
 	return &old.Entry
 }
 
+// encode returns the stored form of a row.
 func encode(row Row) []byte {
 	data, err := json.Marshal(row)
 	if err != nil {
@@ -134,7 +134,7 @@
 	return data
 }
 
-// Look reads the rows of the region.
+// Look reads the rows of all entries of the region.
 func (r *Registry) Look(ctx context.Context, now time.Time) error {
 	rows, err := r.table.List(ctx, Prefix(r.region), "", MaxEntries)
 	if err != nil {
@@ -147,88 +147,87 @@
 			continue
 		}
 		present[row.Entry.ID] = true
-		if known, ok := r.others[row.Entry.ID]; ok && known.version == stored.Version {
+		if known, ok := r.peers[row.Entry.ID]; ok && known.version == stored.Version {
 			continue
 		}
-		r.others[row.Entry.ID] = seen{row: row, version: stored.Version, since: now}
+		r.peers[row.Entry.ID] = observedRow{row: row, version: stored.Version, unchangedSince: now}
 	}
-	for id := range r.others {
+	for id := range r.peers {
 		if !present[id] {
-			delete(r.others, id)
+			delete(r.peers, id)
 		}
 	}
 	return nil
 }
 
-// Live returns the live entries of the region, the own first and the others by name.
+// Live returns the live entries of the region, the own first and the others by ID.
 func (r *Registry) Live(now time.Time) []wire.EntryInfo {
 	var list []wire.EntryInfo
-	for _, other := range r.others {
-		if !other.row.Dead && now.Sub(other.since) <= DeadAfter {
-			list = append(list, other.row.Entry)
+	for _, peer := range r.peers {
+		if !peer.row.Dead && now.Sub(peer.unchangedSince) <= DeadAfter {
+			list = append(list, peer.row.Entry)
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	return append([]wire.EntryInfo{r.self}, list...)
 }
 
-// Versions returns the configuration version in force at each live entry but
-// the own, by name.
+// Versions returns the configuration version in force at each live entry but the own, by ID.
 func (r *Registry) Versions(now time.Time) map[string]uint64 {
 	versions := make(map[string]uint64)
-	for id, other := range r.others {
-		if !other.row.Dead && now.Sub(other.since) <= DeadAfter {
-			versions[id] = other.row.Config
+	for id, peer := range r.peers {
+		if !peer.row.Dead && now.Sub(peer.unchangedSince) <= DeadAfter {
+			versions[id] = peer.row.Config
 		}
 	}
 	return versions
 }
 
-// Lost returns the entries whose rows are dead or unchanged for too long.
+// Lost returns the entries whose rows are marked dead or unchanged for longer than DeadAfter, by ID.
 func (r *Registry) Lost(now time.Time) []wire.EntryInfo {
 	var list []wire.EntryInfo
-	for _, other := range r.others {
-		if other.row.Dead || now.Sub(other.since) > DeadAfter {
-			list = append(list, other.row.Entry)
+	for _, peer := range r.peers {
+		if peer.row.Dead || now.Sub(peer.unchangedSince) > DeadAfter {
+			list = append(list, peer.row.Entry)
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	return list
 }
 
-// MarkDead marks a lost entry. It reports false if the row has changed, so
-// that the entry may be alive.
+// MarkDead marks the row of a lost entry as dead. It reports false if the row has changed, since the
+// entry may then be alive.
 func (r *Registry) MarkDead(ctx context.Context, id string) (bool, error) {
-	other, ok := r.others[id]
+	peer, ok := r.peers[id]
 	if !ok {
 		return false, nil
 	}
-	if other.row.Dead {
+	if peer.row.Dead {
 		return true, nil
 	}
-	other.row.Dead = true
-	commit, err := r.table.Commit(ctx, []table.Op{{Key: r.key(id), Value: encode(other.row), IfVersion: other.version}})
+	peer.row.Dead = true
+	commit, err := r.table.Commit(ctx, []table.Op{{Key: r.key(id), Value: encode(peer.row), IfVersion: peer.version}})
 	if err != nil {
 		return false, eris.Wrap(err, "mark entry dead")
 	}
 	if commit.Applied {
-		other.version = commit.Version
-		r.others[id] = other
+		peer.version = commit.Version
+		r.peers[id] = peer
 	}
 	return commit.Applied, nil
 }
 
-// Remove deletes the row of a dead entry that owns nothing any more.
+// Remove deletes the row of a dead entry that owns no claims, unless the row has changed.
 func (r *Registry) Remove(ctx context.Context, id string) error {
-	other, ok := r.others[id]
+	peer, ok := r.peers[id]
 	if !ok {
 		return nil
 	}
-	_, err := r.table.Commit(ctx, []table.Op{{Key: r.key(id), Delete: true, IfVersion: other.version}})
+	_, err := r.table.Commit(ctx, []table.Op{{Key: r.key(id), Delete: true, IfVersion: peer.version}})
 	return eris.Wrap(err, "remove dead entry")
 }
 
-// Leave deletes the own row at a graceful end.
+// Leave deletes the own row at the end of a drain.
 func (r *Registry) Leave(ctx context.Context) error {
 	_, err := r.table.Commit(ctx, []table.Op{{Key: r.key(r.self.ID), Delete: true, IfVersion: r.version}})
 	return eris.Wrap(err, "leave")
--- a/service/members/members_test.go
+++ b/service/members/members_test.go
@@ -19,34 +19,34 @@
 	return wire.EntryInfo{ID: id, Incarnation: incarnation, Address: "192.0.2.1:7101"}
 }
 
-// flaky loses the answer of the next commit though it takes effect.
-type flaky struct {
+// lossyTable loses the answer to the next commit, which takes effect.
+type lossyTable struct {
 	table.Table
-	lose bool
+	loseNextAnswer bool
 }
 
-func (f *flaky) Commit(ctx context.Context, ops []table.Op) (table.Commit, error) {
+func (f *lossyTable) Commit(ctx context.Context, ops []table.Op) (table.Commit, error) {
 	result, err := f.Table.Commit(ctx, ops)
-	if f.lose {
-		f.lose = false
+	if f.loseNextAnswer {
+		f.loseNextAnswer = false
 		return table.Commit{}, errors.New("answer lost")
 	}
 	return result, err
 }
 
-func TestRenewalAfterALostAnswer(t *testing.T) {
+func TestRenewalAfterALostAnswerMeetsItsOwnRow(t *testing.T) {
 	is := is.New(t)
-	f := &flaky{Table: platformstandin.NewTable(1, 0, 0), lose: true}
+	f := &lossyTable{Table: platformstandin.NewTable(1, 0, 0), loseNextAnswer: true}
 	r := New(f, "region", entry("a", 1))
 	ctx := context.Background()
 	_, err := r.Renew(ctx, start, 1)
 	is.True(err != nil)
 	renewal, err := r.Renew(ctx, start, 1)
 	is.NoErr(err)
-	is.True(renewal.Previous == nil) // the row met is the own
+	is.True(renewal.Previous == nil) // the conflicting row is its own
 }
 
-func TestEarlierIncarnationIsReported(t *testing.T) {
+func TestPreviousIncarnationIsReported(t *testing.T) {
 	is := is.New(t)
 	shared := platformstandin.NewTable(1, 0, 0)
 	ctx := context.Background()
@@ -57,7 +57,7 @@
 	is.Equal(renewal.Previous.Incarnation, uint64(1))
 }
 
-func TestDeadOnlyIfUnchanged(t *testing.T) {
+func TestOnlyAnUnchangedRowIsMarkedDead(t *testing.T) {
 	is := is.New(t)
 	shared := platformstandin.NewTable(1, 0, 0)
 	ctx := context.Background()
@@ -68,7 +68,7 @@
 	is.Equal(len(b.Live(start)), 2)
 	later := start.Add(DeadAfter + time.Second)
 	is.Equal(b.Lost(later), []wire.EntryInfo{entry("a", 1)})
-	_, err = a.Renew(ctx, later, 1) // it was only slow
+	_, err = a.Renew(ctx, later, 1) // the entry is alive but slow
 	is.NoErr(err)
 	dead, err := b.MarkDead(ctx, "a")
 	is.NoErr(err)
@@ -78,9 +78,9 @@
 	dead, err = b.MarkDead(ctx, "a")
 	is.NoErr(err)
 	is.True(dead)
-	_, err = a.Renew(ctx, later, 1) // an entry wrongly judged dead comes back
+	_, err = a.Renew(ctx, later, 1) // an entry that was marked dead while alive renews
 	is.NoErr(err)
-	is.NoErr(b.Remove(ctx, "a")) // does nothing: the row has changed
+	is.NoErr(b.Remove(ctx, "a")) // no effect, since the row has changed
 	is.NoErr(b.Look(ctx, later))
 	is.Equal(len(b.Live(later)), 2)
 }
