--- a/service/confwatch/store.go
+++ b/service/confwatch/store.go
@@ -1,10 +1,10 @@
-// Package confwatch keeps the versioned configuration in the table service and
-// follows it.
+// Package confwatch stores the versioned configuration in the table service and polls it for new
+// versions.
 //
-// A change replaces the current row by compare-and-set and adds a history row
-// in the same transaction. Each change carries a nonce, so that a put whose
-// answer was lost and is repeated is recognised as itself and not reported as a
-// conflict. A process never steps back to a lower version.
+// A change replaces the current row by a conditional write and adds a history row in the same
+// transaction. Each change carries a nonce, so that a put that is repeated after its answer was lost
+// recognizes its own change instead of reporting a conflict. A process never returns to a lower
+// version.
 package confwatch
 
 import (
@@ -27,19 +27,20 @@
 // Keys of the configuration in the table.
 const (
 	keyCurrent = "config/current"
-	// keyHead holds only the number of the version in force: it is what all
-	// entries read all the time.
+	// keyHead holds only the number of the version in force, which keeps the row that all entries
+	// poll small.
 	keyHead       = "config/head"
 	prefixHistory = "config/history/"
 )
 
-// Store reads and changes the configuration.
+// Store reads and changes the configuration in the table service.
 type Store struct{ table table.Table }
 
-// NewStore returns the configuration in t.
+// NewStore returns the store of the configuration in t.
 func NewStore(t table.Table) *Store { return &Store{table: t} }
 
-// Current returns the version in force and the row's version; nil if none was ever put.
+// Current returns the configuration version in force and the table version of its row; nil and 0 if
+// no configuration exists.
 func (s *Store) Current(ctx context.Context) (*config.Version, uint64, error) {
 	row, err := s.table.Get(ctx, keyCurrent)
 	if err != nil || row == nil {
@@ -52,7 +53,7 @@
 	return version, row.Version, nil
 }
 
-// Head returns the number of the version in force; 0 if none was ever put.
+// Head returns the number of the version in force; 0 if no configuration exists.
 func (s *Store) Head(ctx context.Context) (uint64, error) {
 	row, err := s.table.Get(ctx, keyHead)
 	if err != nil || row == nil {
@@ -62,7 +63,7 @@
 	return number, eris.Wrap(err, "decode head of configuration")
 }
 
-// Conflict is returned by Put if another change won.
+// Conflict is the error of Put if another change was accepted first.
 type Conflict struct {
 	// Winner is the version in force.
 	Winner *config.Version
@@ -73,34 +74,34 @@
 	return fmt.Sprintf("version %d by %s is in force", c.Winner.Number, c.Winner.Author)
 }
 
-// putTries bounds the repetitions of a put whose answer was lost.
-const putTries = 5
+// maxPutAttempts bounds the attempts of one put.
+const maxPutAttempts = 5
 
-// putPause is the pause between them.
-const putPause = 100 * time.Millisecond
+// putRetryPause is the pause between attempts.
+const putRetryPause = 100 * time.Millisecond
 
-// Put replaces version base of the configuration, 0 being none. The document
-// must have been checked. After an error other than a Conflict the change may
-// have taken effect.
+// Put replaces version base of the configuration; base is 0 if there is none yet. The document must
+// be valid. The error is a Conflict if another change was accepted first, of the kind
+// store-unavailable if the change certainly has no effect, and of the kind fate-unknown otherwise.
 func (s *Store) Put(ctx context.Context, base uint64, author string, now time.Time, document []byte) (*config.Version, error) {
 	next := &config.Version{Number: base + 1, Author: author, At: now, Nonce: newNonce(), Document: document}
-	var last error
-	sent := false
-	for try := range putTries {
-		if try > 0 {
-			pause(ctx, putPause)
+	var lastErr error
+	mayHaveApplied := false
+	for attempt := range maxPutAttempts {
+		if attempt > 0 {
+			sleep(ctx, putRetryPause)
 		}
 		current, rowVersion, err := s.Current(ctx)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		if current != nil && current.Nonce == next.Nonce {
-			return next, nil // an earlier try took effect
+			return next, nil // an earlier attempt took effect
 		}
-		if number(current) != base {
-			if sent && number(current) > base && s.inHistory(ctx, next) {
-				return next, nil // it took effect and was replaced since
+		if numberOf(current) != base {
+			if mayHaveApplied && numberOf(current) > base && s.inHistory(ctx, next) {
+				return next, nil // an earlier attempt took effect and was replaced since
 			}
 			return nil, &Conflict{Winner: current}
 		}
@@ -108,26 +109,29 @@
 		if err == nil && commit.Applied {
 			return next, nil
 		}
-		sent = sent || err != nil && !errors.Is(err, table.ErrNotSent) && !errors.Is(err, table.ErrThrottled)
-		last = err
+		mayHaveApplied = mayHaveApplied || err != nil && !errors.Is(err, table.ErrNotSent) && !errors.Is(err, table.ErrThrottled)
+		lastErr = err
 	}
-	if last == nil {
-		last = eris.New("the configuration keeps changing")
+	if lastErr == nil {
+		lastErr = eris.New("the configuration keeps changing")
 	}
 	kind := errkind.StoreUnavailable
-	if sent {
+	if mayHaveApplied {
 		kind = errkind.FateUnknown
 	}
-	return nil, errkind.New(kind, last.Error())
+	return nil, errkind.New(kind, lastErr.Error())
 }
 
-func number(v *config.Version) uint64 {
+// numberOf returns the number of a version; 0 if it is nil.
+func numberOf(v *config.Version) uint64 {
 	if v == nil {
 		return 0
 	}
 	return v.Number
 }
 
+// commit writes the current, head and history rows of a version in one transaction, provided that
+// the current row still has rowVersion.
 func (s *Store) commit(ctx context.Context, next *config.Version, rowVersion uint64) (table.Commit, error) {
 	data, err := json.Marshal(next)
 	if err != nil {
@@ -140,15 +144,17 @@
 	})
 }
 
+// historyKey returns the key of a history row. It pads the number with zeros, so that keys sort by
+// number.
 func historyKey(number uint64) string { return fmt.Sprintf("%s%012d", prefixHistory, number) }
 
-// inHistory reports whether the change is the one recorded under its number.
+// inHistory reports whether the history row of the version's number has the version's nonce.
 func (s *Store) inHistory(ctx context.Context, v *config.Version) bool {
 	recorded, err := s.Version(ctx, v.Number)
 	return err == nil && recorded != nil && recorded.Nonce == v.Nonce
 }
 
-// Version returns a version by its number, or nil.
+// Version returns the version with the given number, or nil.
 func (s *Store) Version(ctx context.Context, number uint64) (*config.Version, error) {
 	row, err := s.table.Get(ctx, historyKey(number))
 	if err != nil || row == nil {
@@ -158,7 +164,7 @@
 	return version, eris.Wrap(json.Unmarshal(row.Value, version), "decode configuration")
 }
 
-// History returns up to limit versions after a number, oldest first.
+// History returns up to limit versions with numbers above after, oldest first.
 func (s *Store) History(ctx context.Context, after uint64, limit int) ([]config.Version, error) {
 	rows, err := s.table.List(ctx, prefixHistory, historyKey(after), limit)
 	if err != nil {
@@ -179,7 +185,8 @@
 	return hex.EncodeToString(nonce[:])
 }
 
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
--- a/service/confwatch/store_test.go
+++ b/service/confwatch/store_test.go
@@ -16,30 +16,30 @@
 
 const document = `{"teams":[],"services":[],"policy":{}}`
 
-// flaky loses the answers of the first commits though they take effect.
-type flaky struct {
+// lossyTable loses the answers to the first commits, which take effect.
+type lossyTable struct {
 	table.Table
-	lose int
+	answersToLose int
 }
 
-func (f *flaky) Commit(ctx context.Context, ops []table.Op) (table.Commit, error) {
+func (f *lossyTable) Commit(ctx context.Context, ops []table.Op) (table.Commit, error) {
 	result, err := f.Table.Commit(ctx, ops)
-	if f.lose > 0 {
-		f.lose--
+	if f.answersToLose > 0 {
+		f.answersToLose--
 		return table.Commit{}, errors.New("answer lost")
 	}
 	return result, err
 }
 
-func TestLostAnswerIsNoConflictWithItself(t *testing.T) {
+func TestRepeatedPutAfterALostAnswerIsNoConflict(t *testing.T) {
 	is := is.New(t)
-	s := NewStore(&flaky{Table: platformstandin.NewTable(1, 0, 0), lose: 1})
+	s := NewStore(&lossyTable{Table: platformstandin.NewTable(1, 0, 0), answersToLose: 1})
 	v, err := s.Put(context.Background(), 0, "op", time.Now(), []byte(document))
 	is.NoErr(err)
 	is.Equal(v.Number, uint64(1))
 }
 
-func TestLoserSeesTheWinner(t *testing.T) {
+func TestConflictReportsTheWinningVersion(t *testing.T) {
 	is := is.New(t)
 	s := NewStore(platformstandin.NewTable(1, 0, 0))
 	ctx := context.Background()
@@ -54,7 +54,7 @@
 	is.Equal(len(history), 1)
 }
 
-func TestNeverBack(t *testing.T) {
+func TestWatcherNeverStepsBackToALowerVersion(t *testing.T) {
 	is := is.New(t)
 	t1 := platformstandin.NewTable(1, 0, 0)
 	s := NewStore(t1)
@@ -65,12 +65,12 @@
 		_, err := s.Put(ctx, base, "op", time.Now(), []byte(document))
 		is.NoErr(err)
 	}
-	w.Poll(ctx)
+	w.poll(ctx)
 	is.Equal(w.Current().Version, uint64(3))
 	is.True(w.Fresh(time.Now()))
 	is.True(!w.Fresh(time.Now().Add(InForceWithin + time.Second)))
 	old, err := s.Version(ctx, 1)
 	is.NoErr(err)
-	w.offer(old, time.Now()) // a late answer with an old version
+	w.update(old, time.Now()) // a delayed answer with an older version
 	is.Equal(w.Current().Version, uint64(3))
 }
--- a/service/confwatch/watcher.go
+++ b/service/confwatch/watcher.go
@@ -10,68 +10,66 @@
 	"peridotpick.example/common/config"
 )
 
-// Times of following the configuration.
+// Intervals and timeouts of polling.
 const (
-	// PollEvery is the pause between looks at the current version.
+	// PollEvery is the pause between polls of the number of the version in force.
 	PollEvery = 1500 * time.Millisecond
-	// pollTimeout bounds one look.
+	// pollTimeout bounds one poll.
 	pollTimeout = time.Second
-	// InForceWithin is the time in which an accepted version is in force
-	// everywhere. A process that could not confirm its version for that long
-	// does only what no later version could forbid without harm: it serves
-	// repeatable calls.
+	// InForceWithin is the time within which an accepted version is in force at all entries. An entry
+	// that could not confirm its version for that long serves repeatable calls only, since these do
+	// no harm even if a later version forbids them.
 	InForceWithin = 6 * time.Second
 )
 
-// Watcher holds the newest version known to this process.
+// Watcher polls the configuration and holds the newest version known to this process.
+// lastConfirmed is the Unix time in nanoseconds at which that version was last known to be in force.
 type Watcher struct {
-	store     *Store
-	log       zerolog.Logger
-	current   atomic.Pointer[config.Compiled]
-	confirmed atomic.Int64
-	apply     func(*config.Compiled)
-	reachable func(bool)
+	store           *Store
+	log             zerolog.Logger
+	current         atomic.Pointer[config.Compiled]
+	lastConfirmed   atomic.Int64
+	apply           func(*config.Compiled)
+	reportReachable func(bool)
 }
 
-// NewWatcher returns a watcher without a version. apply is called with each
-// newer version, and reachable with whether the table service answered, both
-// from Run's goroutine.
+// NewWatcher returns a watcher without a version. apply is called with each newer version, and
+// reachable after each poll with whether the table service answered, both from Run's goroutine.
 func NewWatcher(store *Store, log zerolog.Logger, apply func(*config.Compiled), reachable func(bool)) *Watcher {
-	return &Watcher{store: store, log: log, apply: apply, reachable: reachable}
+	return &Watcher{store: store, log: log, apply: apply, reportReachable: reachable}
 }
 
-// Current returns the version in force here, or nil if none was ever read: a
-// process without one refuses all work.
+// Current returns the version in force here, or nil if none was read yet. A process without a
+// version refuses all work.
 func (w *Watcher) Current() *config.Compiled { return w.current.Load() }
 
-// Fresh reports whether the version was confirmed recently enough to be the
-// one in force.
+// Fresh reports whether the version was confirmed within InForceWithin before now.
 func (w *Watcher) Fresh(now time.Time) bool {
-	return now.Sub(time.Unix(0, w.confirmed.Load())) <= InForceWithin
+	return now.Sub(time.Unix(0, w.lastConfirmed.Load())) <= InForceWithin
 }
 
-// Run follows the configuration until ctx ends.
+// Run polls the configuration until ctx ends.
 func (w *Watcher) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		w.Poll(ctx)
-		pause(ctx, PollEvery)
+		w.poll(ctx)
+		sleep(ctx, PollEvery)
 	}
 	return nil
 }
 
-// Poll looks once.
-func (w *Watcher) Poll(ctx context.Context) {
-	asked := time.Now() // freshness counts from before the question
+// poll reads the number of the version in force, and the version itself if it is a new one.
+func (w *Watcher) poll(ctx context.Context) {
+	requestedAt := time.Now() // the version is confirmed as of a time before the request
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	head, err := w.store.Head(ctx)
-	w.reachable(err == nil)
+	w.reportReachable(err == nil)
 	if err != nil {
 		w.log.Warn().Err(err).Msg("config: the table service does not answer")
 		return
 	}
-	if have := w.current.Load(); have != nil && head == have.Version {
-		w.confirmed.Store(asked.UnixNano())
+	if current := w.current.Load(); current != nil && head == current.Version {
+		w.lastConfirmed.Store(requestedAt.UnixNano())
 		return
 	}
 	version, _, err := w.store.Current(ctx)
@@ -79,16 +77,17 @@
 		w.log.Warn().Err(err).Msg("config: the new version could not be read")
 		return
 	}
-	w.offer(version, asked)
+	w.update(version, requestedAt)
 }
 
-// offer takes a version that was in force at some time not before asked.
-func (w *Watcher) offer(version *config.Version, asked time.Time) {
+// update puts a version in force here if it is newer than the current one. The version was in force
+// in the table service at some time not before requestedAt.
+func (w *Watcher) update(version *config.Version, requestedAt time.Time) {
 	if version == nil {
 		return
 	}
-	have := w.current.Load()
-	if have == nil || version.Number > have.Version {
+	current := w.current.Load()
+	if current == nil || version.Number > current.Version {
 		compiled, err := config.Parse(version.Document)
 		if err != nil {
 			w.log.Error().Uint64("version", version.Number).Err(err).Msg("config: version cannot be used")
@@ -99,7 +98,7 @@
 		w.log.Info().Uint64("version", version.Number).Str("author", version.Author).Msg("config: version in force")
 		w.apply(compiled)
 	}
-	if have == nil || version.Number >= have.Version {
-		w.confirmed.Store(asked.UnixNano())
+	if current == nil || version.Number >= current.Version {
+		w.lastConfirmed.Store(requestedAt.UnixNano())
 	}
 }
