--- a/service/claimstore/store.go
+++ b/service/claimstore/store.go
@@ -1,10 +1,10 @@
-// Package claimstore keeps claims in the platform's table service.
+// Package claimstore stores claims in the platform's table service.
 //
-// One goroutine owns the Grouper; each transaction runs in a goroutine of its
-// own and reports back through a bounded ring. Next to each open claim stands
-// an index row under the name of its owner, so that the claims of a lost entry
-// can be listed. Rows that exceed the table's row size go to the object store
-// first and are referred to by name.
+// The goroutine of Run owns the Grouper, which groups writes into transactions. Each transaction runs
+// in its own goroutine and reports its status through a bounded queue. Each open claim has an index
+// row under its owner, so that the claims of a lost entry can be listed; each ended claim has one
+// under the minute of its end, so that expired claims can be found. A claim that exceeds the row size
+// of the table is written to the object store first, and its row refers to the object by name.
 package claimstore
 
 import (
@@ -28,10 +28,10 @@
 const (
 	prefixClaim = "claim/"
 	prefixOwned = "owned/"
-	// prefixEnded holds ended claims by the minute of their end.
+	// prefixEnded is the prefix of index rows of ended claims by the minute of their end.
 	prefixEnded = "ended/"
-	// blobPrefix names objects that hold rows too large for the table.
-	blobPrefix = "claim-"
+	// prefixBlob is the prefix of the names of objects with claims that are too large for the table.
+	prefixBlob = "claim-"
 )
 
 // Settings of a Store.
@@ -39,11 +39,11 @@
 	Group group.Params
 	// Timeout bounds one request to the platform.
 	Timeout time.Duration
-	// MaxRow is the largest row kept in the table, in bytes.
+	// MaxRow is the size of the largest claim stored in the table itself, in bytes.
 	MaxRow int
 }
 
-// DefaultSettings returns the settings used unless configured otherwise.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{Group: group.DefaultParams(), Timeout: 2 * time.Second, MaxRow: 32 << 10}
 }
@@ -58,19 +58,19 @@
 	deliver  func([]claim.Result)
 }
 
-// ringSize bounds the events that wait for the owner goroutine.
-const ringSize = 8192
+// eventQueueSize is the number of events that may wait for the goroutine of Run.
+const eventQueueSize = 8192
 
-// New returns a store. deliver is called from the store's goroutine with the
-// fates of writes; it must not block for long.
+// New returns a store. deliver is called from the goroutine of Run with the results of writes; it
+// must not block for long.
 func New(settings Settings, t table.Table, o table.Objects, deliver func([]claim.Result)) *Store {
 	return &Store{
 		settings: settings, table: t, objects: o, deliver: deliver,
-		events: make(chan func(time.Time), ringSize), grouper: group.New(settings.Group),
+		events: make(chan func(time.Time), eventQueueSize), grouper: group.New(settings.Group),
 	}
 }
 
-// Run owns the grouper until ctx ends.
+// Run executes queued events and starts transactions until ctx ends.
 func (s *Store) Run(ctx context.Context) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -83,16 +83,17 @@
 		case <-timer.C:
 		}
 		s.drainEvents()
-		wake := s.send(ctx)
+		wake := s.startTransactions(ctx)
 		if results := s.grouper.Results(); len(results) > 0 {
 			s.deliver(results)
 		}
-		timer.Reset(until(wake))
+		timer.Reset(timeUntil(wake))
 	}
 }
 
+// drainEvents executes the events that wait, up to eventQueueSize.
 func (s *Store) drainEvents() {
-	for range ringSize {
+	for range eventQueueSize {
 		select {
 		case event := <-s.events:
 			event(time.Now())
@@ -102,28 +103,30 @@
 	}
 }
 
-// send starts the transactions that the grouper allows and returns when to look again.
-func (s *Store) send(ctx context.Context) time.Time {
+// startTransactions starts the transactions that the grouper allows now. It returns the time at which
+// the grouper may allow the next one; zero if it waits for writes.
+func (s *Store) startTransactions(ctx context.Context) time.Time {
 	for {
 		g, wake := s.grouper.Next(time.Now())
 		if g == nil {
 			return wake
 		}
-		go s.commit(ctx, g)
+		go s.runTransaction(ctx, g)
 	}
 }
 
-// idleWake bounds the sleep when nothing is due.
-const idleWake = time.Minute
+// maxSleep is the longest sleep of Run when nothing is due.
+const maxSleep = time.Minute
 
-func until(wake time.Time) time.Duration {
+// timeUntil returns the time until wake, or maxSleep if wake is zero.
+func timeUntil(wake time.Time) time.Duration {
 	if wake.IsZero() {
-		return idleWake
+		return maxSleep
 	}
 	return max(0, time.Until(wake))
 }
 
-// Write queues writes. It reports false, without effect, if the ring is full.
+// Write queues writes. It reports false, without effect, if the event queue is full.
 func (s *Store) Write(writes []claim.Write) bool {
 	return s.post(func(time.Time) {
 		for _, w := range writes {
@@ -132,12 +135,13 @@
 	})
 }
 
-// Reachable tells what another request to the table service learned of it.
+// Reachable reports whether the table service answered another request. The report is dropped if
+// the event queue is full.
 func (s *Store) Reachable(ok bool) {
 	s.post(func(time.Time) { s.grouper.Reachable(ok) })
 }
 
-// SetShares states among how many live entries the budget is divided.
+// SetShares sets the number of live entries by which the write budget is divided.
 func (s *Store) SetShares(n int) {
 	s.post(func(time.Time) { s.grouper.SetShares(n) })
 }
@@ -145,29 +149,33 @@
 // Snapshot is the state of a store for metrics.
 type Snapshot struct {
 	group.Stats
+	// Waiting is the number of writes that wait for a transaction.
 	Waiting int
-	// Rate is this entry's share of the write budget, per second.
+	// Rate is this entry's share of the write budget, in transactions per second.
 	Rate float64
+	// Away reports an outage of the table service.
 	Away bool
 }
 
-// Snapshot returns the state; it waits for the store's goroutine.
+// Snapshot returns the state of the store, read in the goroutine of Run; the zero Snapshot if the
+// event queue is full or ctx ends first.
 func (s *Store) Snapshot(ctx context.Context) Snapshot {
-	got := make(chan Snapshot, 1)
+	snapshots := make(chan Snapshot, 1)
 	ok := s.post(func(time.Time) {
-		got <- Snapshot{Stats: s.grouper.Stats(), Waiting: s.grouper.Waiting(), Rate: s.grouper.Rate(), Away: s.grouper.Away()}
+		snapshots <- Snapshot{Stats: s.grouper.Stats(), Waiting: s.grouper.Waiting(), Rate: s.grouper.Rate(), Away: s.grouper.Away()}
 	})
 	if !ok {
 		return Snapshot{}
 	}
 	select {
-	case snapshot := <-got:
+	case snapshot := <-snapshots:
 		return snapshot
 	case <-ctx.Done():
 		return Snapshot{}
 	}
 }
 
+// post queues an event for the goroutine of Run. It reports false if the queue is full.
 func (s *Store) post(event func(time.Time)) bool {
 	select {
 	case s.events <- event:
@@ -177,24 +185,28 @@
 	}
 }
 
-// commit sends one transaction and reports its fate.
-func (s *Store) commit(ctx context.Context, g *group.Group) {
-	fate, version, conflicts := s.transact(ctx, g)
-	done := func(now time.Time) { s.grouper.Done(now, g.ID, fate, version, conflicts) }
+// runTransaction commits a group and reports the status to the grouper. It waits for room in the
+// event queue, since a status must not be dropped.
+func (s *Store) runTransaction(ctx context.Context, g *group.Group) {
+	status, version, conflicts := s.commitGroup(ctx, g)
+	done := func(now time.Time) { s.grouper.Done(now, g.ID, status, version, conflicts) }
 	select {
 	case s.events <- done:
 	case <-ctx.Done():
 	}
 }
 
-func (s *Store) transact(ctx context.Context, g *group.Group) (group.Fate, uint64, []group.Conflict) {
+// commitGroup commits the claims of a group and their index rows in one transaction. It returns the
+// status, the new version of the rows if the transaction was applied, and the conflicting rows if it
+// conflicted.
+func (s *Store) commitGroup(ctx context.Context, g *group.Group) (group.Fate, uint64, []group.Conflict) {
 	ctx, cancel := context.WithTimeout(ctx, s.settings.Timeout)
 	defer cancel()
 	ops := make([]table.Op, 0, 2*len(g.Writes))
 	for _, w := range g.Writes {
-		op, err := s.claimOp(ctx, w)
+		op, err := s.encodeClaim(ctx, w)
 		if err != nil {
-			return group.Refused, 0, nil // the transaction itself was not sent
+			return group.Refused, 0, nil // the transaction was not sent
 		}
 		ops = append(ops, op)
 	}
@@ -210,36 +222,37 @@
 	case commit.Applied:
 		return group.Applied, commit.Version, nil
 	}
-	conflicts, err := s.conflicts(ctx, commit.Conflicts)
+	conflicts, err := s.decodeConflicts(ctx, commit.Conflicts)
 	if err != nil {
 		return group.Refused, 0, nil // a conflicting transaction had no effect
 	}
 	return group.Conflicted, 0, conflicts
 }
 
-// claimOp encodes one write, moving a large row to the object store.
-func (s *Store) claimOp(ctx context.Context, w claim.Write) (table.Op, error) {
+// encodeClaim returns the operation for one write. It stores a claim larger than MaxRow in the object
+// store and returns a row without request and outcome that refers to the object.
+func (s *Store) encodeClaim(ctx context.Context, w claim.Write) (table.Op, error) {
 	data, err := w.Row.Encode()
 	if err != nil {
 		return table.Op{}, err
 	}
 	if len(data) > s.settings.MaxRow {
-		name := blobPrefix + strconv.FormatUint(w.Row.Nonce, 16)
+		name := prefixBlob + strconv.FormatUint(w.Row.Nonce, 16)
 		if err := s.objects.Put(ctx, name, data); err != nil {
 			return table.Op{}, eris.Wrap(err, "store large claim")
 		}
-		stub := *w.Row
-		stub.Outcome, stub.Request, stub.Blob = nil, nil, name
+		reference := *w.Row
+		reference.Outcome, reference.Request, reference.Blob = nil, nil, name
 		w.Row.Blob = name
-		if data, err = stub.Encode(); err != nil {
+		if data, err = reference.Encode(); err != nil {
 			return table.Op{}, err
 		}
 	}
 	return table.Op{Key: rowKey(w.Row.Submission), Value: data, IfVersion: w.IfVersion}, nil
 }
 
-// indexOps adds the index row of the owner of an open claim; for one that has
-// ended it removes that row and adds one under the time of its end.
+// indexOps returns the operations on the index rows of a claim. An open claim gets a row under its
+// owner; for an ended claim that row is deleted and one under the time of its end is added.
 func (s *Store) indexOps(row *claim.Row) []table.Op {
 	owned := table.Op{Key: ownedPrefix(row.Owner) + row.Submission, IfVersion: table.Any, Value: []byte{'1'}}
 	if row.Phase == claim.Running {
@@ -251,15 +264,15 @@
 	return []table.Op{owned, ended}
 }
 
-// endedKey orders ended claims by minute.
+// endedKey returns the key of the index row of an ended claim. Keys sort by the minute of the end.
 func endedKey(at time.Time, submission string) string {
 	return fmt.Sprintf("%s%010d/%s", prefixEnded, at.Unix()/secondsPerMinute, submission)
 }
 
 const secondsPerMinute = 60
 
-// Expire deletes up to limit claims that ended before a time, in one
-// transaction. It returns how many index rows were handled.
+// Expire deletes up to limit claims that ended before a time, in one transaction, together with their
+// index rows and objects. It returns the number of index rows that it found.
 func (s *Store) Expire(ctx context.Context, before time.Time, limit int) (int, error) {
 	rows, err := s.table.List(ctx, prefixEnded, "", limit)
 	if err != nil {
@@ -282,13 +295,13 @@
 	return len(rows), err
 }
 
-// deleteEnded deletes index rows and their claims, but for claims in keep. It
-// returns the indexes of claims that changed after their index row was written
-// (both were written in one transaction and share its version); then nothing
-// was deleted.
+// deleteEnded deletes index rows and their claims, except the claims whose indexes are in keep. If
+// claims have changed since their index rows were written, it deletes nothing and returns the indexes
+// of these claims. It detects that by the version, since a claim and its index row are written in one
+// transaction and share its version.
 func (s *Store) deleteEnded(ctx context.Context, rows []table.Row, keep map[int]bool) (map[int]bool, error) {
 	var ops []table.Op
-	owner := make(map[int]int) // operation to row
+	owner := make(map[int]int) // index of the row by that of the operation
 	for i, row := range rows {
 		ops = append(ops, table.Op{Key: row.Key, Delete: true, IfVersion: table.Any})
 		if keep[i] {
@@ -312,7 +325,7 @@
 	return nil, s.deleteBlobs(ctx, rows, keep)
 }
 
-// deleteBlobs deletes the objects of deleted claims.
+// deleteBlobs deletes the objects of deleted claims; the value of an index row is the object's name.
 func (s *Store) deleteBlobs(ctx context.Context, rows []table.Row, keep map[int]bool) error {
 	for i, row := range rows {
 		if len(row.Value) == 0 || keep[i] {
@@ -325,13 +338,15 @@
 	return nil
 }
 
+// ownedPrefix returns the key prefix of the index rows of an entry incarnation.
 func ownedPrefix(owner wire.EntryInfo) string {
 	return prefixOwned + url.PathEscape(owner.ID) + "/" + strconv.FormatUint(owner.Incarnation, 16) + "/"
 }
 
 func rowKey(submission string) string { return prefixClaim + submission }
 
-func (s *Store) conflicts(ctx context.Context, list []table.Conflict) ([]group.Conflict, error) {
+// decodeConflicts decodes the rows that made a transaction conflict.
+func (s *Store) decodeConflicts(ctx context.Context, list []table.Conflict) ([]group.Conflict, error) {
 	var out []group.Conflict
 	for _, c := range list {
 		conflict := group.Conflict{Index: c.Op}
@@ -348,7 +363,7 @@
 	return out, nil
 }
 
-// decode parses a stored row and fetches its object if it has one.
+// decode decodes a stored claim, from its object if it has one.
 func (s *Store) decode(ctx context.Context, data []byte) (*claim.Row, error) {
 	row, err := claim.Decode(data)
 	if err != nil || row.Blob == "" {
@@ -358,15 +373,15 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "fetch large claim")
 	}
-	whole, err := claim.Decode(full)
+	complete, err := claim.Decode(full)
 	if err != nil {
 		return nil, err
 	}
-	whole.Blob = row.Blob
-	return whole, nil
+	complete.Blob = row.Blob
+	return complete, nil
 }
 
-// Read returns the claim of a submission and its version, or nil if there is none.
+// Read returns the claim of a submission and the version of its row, or nil if there is none.
 func (s *Store) Read(ctx context.Context, submission string) (*claim.Row, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.settings.Timeout)
 	defer cancel()
@@ -378,7 +393,8 @@
 	return decoded, row.Version, err
 }
 
-// Owned lists open submissions of an entry incarnation.
+// Owned returns up to limit submissions that an entry incarnation owns according to its index rows,
+// some of which may be stale.
 func (s *Store) Owned(ctx context.Context, owner wire.EntryInfo, limit int) ([]string, error) {
 	prefix := ownedPrefix(owner)
 	rows, err := s.table.List(ctx, prefix, "", limit)
@@ -392,7 +408,7 @@
 	return list, nil
 }
 
-// Forget removes a stale index row, such as one left by a takeover.
+// Forget deletes index rows of an entry incarnation that are stale, such as those left by a takeover.
 func (s *Store) Forget(ctx context.Context, owner wire.EntryInfo, submissions []string) error {
 	ops := make([]table.Op, len(submissions))
 	for i, submission := range submissions {
@@ -402,7 +418,8 @@
 	return err
 }
 
-// ListTeam returns up to limit claims of submissions with the prefix, after a key.
+// ListTeam returns up to limit claims of submissions whose names start with prefix, in order, from
+// the one after prefix+after. Outcomes and requests stored as objects are not fetched.
 func (s *Store) ListTeam(ctx context.Context, prefix, after string, limit int) ([]*claim.Row, error) {
 	if after != "" {
 		after = rowKey(prefix + after)
--- a/service/claimstore/store_test.go
+++ b/service/claimstore/store_test.go
@@ -15,21 +15,21 @@
 
 var owner = wire.EntryInfo{ID: "entry-1", Incarnation: 7}
 
-// bench is a running store over stand-ins.
-type bench struct {
+// harness is a running store over an in-memory table and object store.
+type harness struct {
 	is      *is.I
 	store   *Store
 	table   *platformstandin.Table
 	objects *platformstandin.Objects
-	fates   chan claim.Result
+	results chan claim.Result
 	nonce   uint64
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{is: is.New(t), table: platformstandin.NewTable(1, 0, 0), objects: platformstandin.NewObjects(), fates: make(chan claim.Result, 16)}
+func newHarness(t *testing.T) *harness {
+	b := &harness{is: is.New(t), table: platformstandin.NewTable(1, 0, 0), objects: platformstandin.NewObjects(), results: make(chan claim.Result, 16)}
 	b.store = New(DefaultSettings(), b.table, b.objects, func(results []claim.Result) {
 		for _, r := range results {
-			b.fates <- r
+			b.results <- r
 		}
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -38,15 +38,15 @@
 	return b
 }
 
-func (b *bench) write(row *claim.Row, ifVersion uint64) claim.Result {
+func (b *harness) write(row *claim.Row, ifVersion uint64) claim.Result {
 	b.nonce++
 	row.Nonce, row.Owner = b.nonce, owner
 	b.is.True(b.store.Write([]claim.Write{{Row: row, IfVersion: ifVersion}}))
-	return <-b.fates
+	return <-b.results
 }
 
-func TestClaimAndConflict(t *testing.T) {
-	b := newBench(t)
+func TestSecondClaimConflictsAndClosingRemovesTheIndex(t *testing.T) {
+	b := newHarness(t)
 	ctx := context.Background()
 	first := b.write(&claim.Row{Submission: "c/t/k", Digest: 1, Epoch: 1}, 0)
 	b.is.Equal(first.Status, claim.Applied)
@@ -64,7 +64,7 @@
 }
 
 func TestLargeOutcomeGoesToTheObjectStore(t *testing.T) {
-	b := newBench(t)
+	b := newHarness(t)
 	outcome := &wire.Outcome{Tasks: []wire.TaskOutcome{{Kind: errkind.OK, Payload: make([]byte, 100<<10)}}}
 	b.write(&claim.Row{Submission: "c/t/big", Phase: claim.Closed, Outcome: outcome}, 0)
 	row, _, err := b.store.Read(context.Background(), "c/t/big")
@@ -77,10 +77,10 @@
 	b.is.True(err != nil)
 }
 
-// TestExpireSparesWhatChanged: a voided claim that was claimed anew is not
-// deleted with the index row of its void.
-func TestExpireSparesWhatChanged(t *testing.T) {
-	b := newBench(t)
+// TestExpireKeepsClaimsThatWereClaimedAnew checks that a voided claim that was claimed again is not
+// deleted together with the index row of its void.
+func TestExpireKeepsClaimsThatWereClaimedAnew(t *testing.T) {
+	b := newHarness(t)
 	ctx := context.Background()
 	void := b.write(&claim.Row{Submission: "c/t/again", Phase: claim.Void}, 0)
 	b.write(&claim.Row{Submission: "c/t/old", Phase: claim.Closed, Outcome: &wire.Outcome{}}, 0)
