--- a/service/eventloop/queue.go
+++ b/service/eventloop/queue.go
@@ -1,35 +1,37 @@
-// Package eventloop has the bounded ring through which goroutines hand events to
-// the one loop that owns a decision core.
+// Package eventloop provides the bounded queue through which goroutines pass events to the event
+// loop, the one goroutine that owns a decision core.
 package eventloop
 
 import "time"
 
-// Event is something that happened, for the core.
+// Event is a call of the core that the event loop makes at the time now.
 type Event[C any] func(core C, now time.Time)
 
-// Batch bounds the events that most loops take before their output is carried out.
+// Batch is the batch size of most event loops: the number of further events that they handle before
+// they execute the output of the core.
 const Batch = 64
 
-// Ring holds the events that wait for the loop.
+// Ring is the bounded queue of events that wait for the event loop.
 type Ring[C any] struct {
 	events  chan Event[C]
 	batch   int
 	stopped <-chan struct{}
 }
 
-// New returns a ring for a number of events, of which a batch is taken at a time; posting
-// to it ends when stopped is closed.
+// New returns a queue of up to size events. Take handles up to batch further events at a time. Post no
+// longer waits once stopped is closed.
 func New[C any](size, batch int, stopped <-chan struct{}) *Ring[C] {
 	return &Ring[C]{events: make(chan Event[C], size), batch: batch, stopped: stopped}
 }
 
-// Len returns the number of events that wait.
+// Len returns the number of waiting events.
 func (r *Ring[C]) Len() int { return len(r.events) }
 
-// Next returns the channel from which the loop takes the first event of a batch.
+// Next returns the channel from which the event loop receives the first event of a batch.
 func (r *Ring[C]) Next() <-chan Event[C] { return r.events }
 
-// Post hands an event over. It waits while the ring is full, unless the loop has stopped.
+// Post queues an event. It waits while the queue is full, unless the event loop has stopped; then it
+// may drop the event.
 func (r *Ring[C]) Post(e Event[C]) {
 	select {
 	case r.events <- e:
@@ -37,7 +39,7 @@
 	}
 }
 
-// TryPost hands an event over if there is room, and reports whether there was.
+// TryPost queues an event unless the queue is full, and reports whether it was queued.
 func (r *Ring[C]) TryPost(e Event[C]) bool {
 	select {
 	case r.events <- e:
@@ -47,7 +49,7 @@
 	}
 }
 
-// Take has the core handle an event and those that wait behind it, up to a batch.
+// Take handles the first event and up to a batch of the events that wait behind it.
 func (r *Ring[C]) Take(first Event[C], core C, now time.Time) {
 	first(core, now)
 	for range r.batch {
--- a/service/eventloop/queue_test.go
+++ b/service/eventloop/queue_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestTakeKeepsOrderAndEndsAfterABatch(t *testing.T) {
+func TestTakeKeepsOrderAndStopsAfterABatch(t *testing.T) {
 	is := is.New(t)
 	const batch = 3
 	r := New[*[]int](2*batch+2, batch, nil)
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestPostEndsWithTheLoop(t *testing.T) {
+func TestPostReturnsOnceTheLoopHasStopped(t *testing.T) {
 	is := is.New(t)
 	stopped := make(chan struct{})
 	r := New[int](1, Batch, stopped)
--- a/service/process/process.go
+++ b/service/process/process.go
@@ -1,5 +1,4 @@
-// Package process sets up what entries and agents need from their process: the
-// log and the transport with its keys.
+// Package process sets up the log and the transport of an entry or agent process.
 package process
 
 import (
@@ -13,8 +12,8 @@
 	"peridotpick.example/service/transport"
 )
 
-// Setup opens the log on standard error and loads the keys; tls is nil in
-// development mode. The caller closes the sink at the end.
+// Setup opens the log on standard error at the given level and loads the keys of the transport; tls is
+// nil in development mode. The caller closes the sink. Errors name the offending setting.
 func Setup(level string, tls *settings.TLS) (*logs.Sink, *transport.Transport, error) {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
--- a/service/tableclient/client.go
+++ b/service/tableclient/client.go
@@ -1,9 +1,9 @@
-// Package tableclient reaches the platform over HTTP with JSON bodies. Conditional
-// writes carry the expected version of each row.
+// Package tableclient is the client of the platform's HTTP interface with JSON bodies: table service,
+// object store and power control. Conditional writes carry the expected version of each row.
 //
-// A request that was refused before it was sent, or with a status that says it
-// had no effect, fails with a definite error. Any other failure leaves the fate
-// of a commit unknown; the client never repeats a commit on its own.
+// A request that could not be sent, or that was answered with a status that rules out any effect,
+// fails with table.ErrNotSent, table.ErrThrottled or table.ErrNotFound. After any other error a
+// commit may have taken effect; the client never repeats a request.
 package tableclient
 
 import (
@@ -29,22 +29,22 @@
 	PathWorkers = "/v1/workers"
 )
 
-// Client is a connection to the platform. It implements table.Table.
+// Client is a client of the platform. It implements table.Table.
 type Client struct {
-	base    string
+	baseURL string
 	http    *fasthttp.Client
 	timeout time.Duration
 }
 
 var _ table.Table = (*Client)(nil)
 
-// maxConns bounds the connections to the platform.
+// maxConns is the maximum number of connections to the platform.
 const maxConns = 64
 
-// New returns a client of the platform at an IP:port.
+// New returns a client of the platform at an IP:port. timeout bounds each request.
 func New(address string, timeout time.Duration) *Client {
 	return &Client{
-		base:    "http://" + address,
+		baseURL: "http://" + address,
 		timeout: timeout,
 		http: &fasthttp.Client{
 			Name: "peridotpick", MaxConnsPerHost: maxConns, MaxIdleConnDuration: 30 * time.Second,
@@ -54,8 +54,8 @@
 	}
 }
 
-// neverRetry keeps the library from repeating requests: a commit whose answer
-// was lost may have taken effect.
+// neverRetry keeps the HTTP library from repeating requests, since a commit whose answer was lost may
+// have taken effect.
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
 // Objects returns the object store of the same platform.
@@ -71,14 +71,14 @@
 	if err != nil {
 		return result, eris.Wrap(err, "encode commit")
 	}
-	_, err = c.do(ctx, fasthttp.MethodPost, PathCommit, body, &result)
+	_, err = c.send(ctx, fasthttp.MethodPost, PathCommit, body, &result)
 	return result, err
 }
 
 // Get implements table.Table.
 func (c *Client) Get(ctx context.Context, key string) (*table.Row, error) {
 	var row *table.Row
-	_, err := c.do(ctx, fasthttp.MethodGet, PathRow+"?key="+url.QueryEscape(key), nil, &row)
+	_, err := c.send(ctx, fasthttp.MethodGet, PathRow+"?key="+url.QueryEscape(key), nil, &row)
 	return row, err
 }
 
@@ -86,12 +86,12 @@
 func (c *Client) List(ctx context.Context, prefix, after string, limit int) ([]table.Row, error) {
 	var rows []table.Row
 	query := "?prefix=" + url.QueryEscape(prefix) + "&after=" + url.QueryEscape(after) + "&limit=" + strconv.Itoa(limit)
-	_, err := c.do(ctx, fasthttp.MethodGet, PathRows+query, nil, &rows)
+	_, err := c.send(ctx, fasthttp.MethodGet, PathRows+query, nil, &rows)
 	return rows, err
 }
 
-// do sends one request and decodes a JSON answer into out, unless it is nil.
-func (c *Client) do(ctx context.Context, method, path string, body []byte, out any) ([]byte, error) {
+// send sends one request. It decodes the JSON answer into out; if out is nil, it returns the body.
+func (c *Client) send(ctx context.Context, method, path string, body []byte, out any) ([]byte, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, table.ErrNotSent
 	}
@@ -100,14 +100,14 @@
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	req.Header.SetMethod(method)
-	req.SetRequestURI(c.base + path)
+	req.SetRequestURI(c.baseURL + path)
 	req.SetBody(body)
 	deadline := time.Now().Add(c.timeout)
-	if limit, ok := ctx.Deadline(); ok && limit.Before(deadline) {
-		deadline = limit
+	if ctxDeadline, ok := ctx.Deadline(); ok && ctxDeadline.Before(deadline) {
+		deadline = ctxDeadline
 	}
 	if err := c.http.DoDeadline(req, resp, deadline); err != nil {
-		return nil, unsent(err)
+		return nil, classifySendError(err)
 	}
 	if err := statusError(resp.StatusCode()); err != nil {
 		return nil, err
@@ -118,8 +118,9 @@
 	return append([]byte(nil), resp.Body()...), nil
 }
 
-// unsent maps failures to connect to ErrNotSent.
-func unsent(err error) error {
+// classifySendError returns ErrNotSent for failures to connect, after which the request certainly had
+// no effect, and wraps all other errors.
+func classifySendError(err error) error {
 	var op *net.OpError
 	dialFailed := eris.As(err, &op) && op.Op == "dial"
 	if dialFailed || eris.Is(err, fasthttp.ErrNoFreeConns) || eris.Is(err, fasthttp.ErrDialTimeout) {
@@ -128,6 +129,7 @@
 	return eris.Wrap(err, "platform request")
 }
 
+// statusError returns the error for an HTTP status; nil for 200.
 func statusError(status int) error {
 	switch status {
 	case fasthttp.StatusOK:
@@ -142,36 +144,38 @@
 	return eris.Errorf("platform answered with status %d", status)
 }
 
-type objects struct{ c *Client }
+// objects implements table.Objects.
+type objects struct{ client *Client }
 
 func (o objects) Put(ctx context.Context, name string, data []byte) error {
-	_, err := o.c.do(ctx, fasthttp.MethodPut, PathObjects+url.PathEscape(name), data, nil)
+	_, err := o.client.send(ctx, fasthttp.MethodPut, PathObjects+url.PathEscape(name), data, nil)
 	return err
 }
 
 func (o objects) Get(ctx context.Context, name string) ([]byte, error) {
-	return o.c.do(ctx, fasthttp.MethodGet, PathObjects+url.PathEscape(name), nil, nil)
+	return o.client.send(ctx, fasthttp.MethodGet, PathObjects+url.PathEscape(name), nil, nil)
 }
 
 func (o objects) Delete(ctx context.Context, name string) error {
-	_, err := o.c.do(ctx, fasthttp.MethodDelete, PathObjects+url.PathEscape(name), nil, nil)
+	_, err := o.client.send(ctx, fasthttp.MethodDelete, PathObjects+url.PathEscape(name), nil, nil)
 	return err
 }
 
-type workers struct{ c *Client }
+// workers implements table.Workers.
+type workers struct{ client *Client }
 
 func (w workers) List(ctx context.Context) ([]table.Worker, error) {
 	var list []table.Worker
-	_, err := w.c.do(ctx, fasthttp.MethodGet, PathWorkers, nil, &list)
+	_, err := w.client.send(ctx, fasthttp.MethodGet, PathWorkers, nil, &list)
 	return list, err
 }
 
 func (w workers) Wake(ctx context.Context, id string) error {
-	_, err := w.c.do(ctx, fasthttp.MethodPost, PathWorkers+"/"+url.PathEscape(id)+"/wake", nil, nil)
+	_, err := w.client.send(ctx, fasthttp.MethodPost, PathWorkers+"/"+url.PathEscape(id)+"/wake", nil, nil)
 	return err
 }
 
 func (w workers) Sleep(ctx context.Context, id string) error {
-	_, err := w.c.do(ctx, fasthttp.MethodPost, PathWorkers+"/"+url.PathEscape(id)+"/sleep", nil, nil)
+	_, err := w.client.send(ctx, fasthttp.MethodPost, PathWorkers+"/"+url.PathEscape(id)+"/sleep", nil, nil)
 	return err
 }
--- a/service/transport/keys.go
+++ b/service/transport/keys.go
@@ -12,22 +12,22 @@
 	"peridotpick.example/common/settings"
 )
 
-// reloadEvery is how often the key files are looked at for changes.
-const reloadEvery = 5 * time.Second
+// recheckInterval is the shortest pause between checks of the key files for changes.
+const recheckInterval = 5 * time.Second
 
-// Keys is a key pair and the authorities trusted, read again from their files
-// when these change, so that certificates are replaced without a restart.
+// Keys is a key pair and the trusted certificate authorities. They are reloaded when their files
+// change, so that certificates can be replaced without a restart.
 type Keys struct {
 	files settings.TLS
 
-	mu      sync.Mutex
-	checked time.Time
-	changed time.Time
-	cert    *tls.Certificate
-	pool    *x509.CertPool
+	mu           sync.Mutex
+	lastCheck    time.Time
+	lastModified time.Time
+	cert         *tls.Certificate
+	pool         *x509.CertPool
 }
 
-// LoadKeys reads the files.
+// LoadKeys loads the key pair and the authorities from their files.
 func LoadKeys(files settings.TLS) (*Keys, error) {
 	k := &Keys{files: files}
 	if err := k.load(); err != nil {
@@ -36,6 +36,7 @@
 	return k, nil
 }
 
+// load loads the files. After an error the previous key pair and authorities stay.
 func (k *Keys) load() error {
 	cert, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
 	if err != nil {
@@ -47,46 +48,47 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return eris.Errorf("no certificate in %s", k.files.Authorities)
+		return eris.Errorf("no PEM certificate in %s", k.files.Authorities)
 	}
 	k.cert, k.pool = &cert, pool
 	return nil
 }
 
-// current returns the newest readable key pair and authorities. Files that
-// cannot be read leave the old ones in force.
+// current returns the key pair and the authorities, after reloading them if their files have changed.
+// If the files cannot be loaded, the previous ones stay in use.
 func (k *Keys) current() (*tls.Certificate, *x509.CertPool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if time.Since(k.checked) < reloadEvery {
+	if time.Since(k.lastCheck) < recheckInterval {
 		return k.cert, k.pool
 	}
-	k.checked = time.Now()
-	if newest := k.newest(); newest.After(k.changed) && k.load() == nil {
-		k.changed = newest
+	k.lastCheck = time.Now()
+	if newest := k.newestModTime(); newest.After(k.lastModified) && k.load() == nil {
+		k.lastModified = newest
 	}
 	return k.cert, k.pool
 }
 
-// Reload looks at the files at the next use.
-func (k *Keys) Reload() {
+// ForceRecheck makes the next use check the files, whenever they were checked last.
+func (k *Keys) ForceRecheck() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.checked = time.Time{}
+	k.lastCheck = time.Time{}
 }
 
-func (k *Keys) newest() time.Time {
-	var newest time.Time
+// newestModTime returns the newest modification time of the files.
+func (k *Keys) newestModTime() time.Time {
+	var latest time.Time
 	for _, name := range []string{k.files.Certificate, k.files.Key, k.files.Authorities} {
-		if info, err := os.Stat(name); err == nil && info.ModTime().After(newest) {
-			newest = info.ModTime()
+		if info, err := os.Stat(name); err == nil && info.ModTime().After(latest) {
+			latest = info.ModTime()
 		}
 	}
-	return newest
+	return latest
 }
 
-// ServerConfig returns the configuration of a listener; mutual ones demand a
-// certificate of the peer.
+// ServerConfig returns the TLS configuration of a listener. If mutual is set, peers must present a
+// certificate of a trusted authority.
 func (k *Keys) ServerConfig(mutual bool) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -102,19 +104,19 @@
 	}
 }
 
-// ClientConfig returns the configuration to dial a peer. Peers are known by IP
-// number and by the authority that signed their certificate, not by host name.
+// ClientConfig returns the TLS configuration to dial a peer. Peers have IP addresses and no host
+// names, so only the authority that signed their certificate is verified.
 func (k *Keys) ClientConfig() *tls.Config {
 	cert, pool := k.current()
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		Certificates:       []tls.Certificate{*cert},
-		InsecureSkipVerify: true, // replaced by VerifyConnection below
+		InsecureSkipVerify: true, // VerifyConnection verifies the certificate instead
 		VerifyConnection:   func(state tls.ConnectionState) error { return verify(state, pool) },
 	}
 }
 
-// verify checks the chain of a peer's certificate against the authorities.
+// verify verifies the chain of a peer's certificate against the authorities.
 func verify(state tls.ConnectionState, pool *x509.CertPool) error {
 	if len(state.PeerCertificates) == 0 {
 		return eris.New("peer has no certificate")
@@ -126,5 +128,5 @@
 	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{
 		Roots: pool, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
-	return eris.Wrap(err, "peer certificate")
+	return eris.Wrap(err, "verify peer certificate")
 }
--- a/service/transport/maintain.go
+++ b/service/transport/maintain.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Times of keeping a connection.
+// Timeouts of connections that are opened again when they break.
 const (
-	// DialTimeout is far above a round trip; a machine that is just starting leaves
-	// the first attempt without an answer.
+	// DialTimeout bounds one attempt to open a connection. It is far above a round-trip time and still
+	// short, since a host that is starting does not answer the first attempt.
 	DialTimeout = 200 * time.Millisecond
-	// retryMin and retryMax bound the pause before a connection is opened again.
+	// retryMin and retryMax bound the pause between attempts, which doubles each time.
 	retryMin = 50 * time.Millisecond
 	retryMax = 100 * time.Millisecond
-	// ForgetAfter is how long a peer may be out of reach before it is forgotten.
+	// ForgetAfter is the time after which an unreachable peer is given up.
 	ForgetAfter = 10 * time.Second
 )
 
-// Keep calls serve, which opens a connection, serves it until it breaks and
-// reports whether it was open, again and again until the peer is out of reach for
-// long or ctx ends.
+// Keep maintains a connection. It calls serve repeatedly until ctx ends or the peer is unreachable for
+// ForgetAfter. Each call of serve opens a connection, serves it until it breaks, and reports whether
+// it was open.
 func Keep(ctx context.Context, serve func(context.Context) bool) {
 	pause := retryMin
 	lastUp := time.Now()
--- a/service/transport/transport.go
+++ b/service/transport/transport.go
@@ -1,6 +1,5 @@
-// Package transport opens and accepts the connections between entries and
-// agents: TCP to IP numbers, with mutual TLS unless the process runs in
-// development mode on loopback.
+// Package transport opens and accepts the connections between entries and agents: TCP between IP
+// addresses, with mutual TLS unless the process runs in development mode on loopback.
 package transport
 
 import (
@@ -17,17 +16,19 @@
 	"storj.io/drpc/drpcwire"
 )
 
-// maxMessage bounds one message of a peer, in bytes.
+// maxMessage is the largest size of a message from a peer, in bytes.
 const maxMessage = 32 << 20
 
-// keepAlive finds peers that vanished without closing the connection.
+// keepAlive is the interval of TCP keep-alive probes, which detect peers that are lost without
+// closing the connection.
 const keepAlive = 15 * time.Second
 
+// managerOptions returns the options of all drpc connections.
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: maxMessage}}
 }
 
-// Transport dials and listens with the process's key pair.
+// Transport dials and listens with the key pair of the process.
 type Transport struct {
 	keys *Keys
 }
@@ -35,7 +36,7 @@
 // New returns a transport; keys is nil in development mode.
 func New(keys *Keys) *Transport { return &Transport{keys: keys} }
 
-// Listen listens on an IP:port.
+// Listen listens for peers, who must present a certificate, on an IP:port.
 func (t *Transport) Listen(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -47,7 +48,7 @@
 	return tls.NewListener(l, t.keys.ServerConfig(true)), nil
 }
 
-// ListenCallers listens for callers, who present no certificate.
+// ListenCallers listens for callers, who present no certificate, on an IP:port.
 func (t *Transport) ListenCallers(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -59,7 +60,7 @@
 	return tls.NewListener(l, t.keys.ServerConfig(false)), nil
 }
 
-// Dial opens a drpc connection to an IP:port.
+// Dial opens a drpc connection to a peer at an IP:port.
 func (t *Transport) Dial(ctx context.Context, address string) (*drpcconn.Conn, error) {
 	dialer := net.Dialer{KeepAlive: keepAlive}
 	raw, err := dialer.DialContext(ctx, "tcp", address)
@@ -78,7 +79,7 @@
 	return drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: managerOptions()}), nil
 }
 
-// Serve serves drpc on l until ctx ends.
+// Serve serves drpc connections on l until ctx ends.
 func Serve(ctx context.Context, l net.Listener, handler drpc.Handler) error {
 	server := drpcserver.NewWithOptions(handler, drpcserver.Options{Manager: managerOptions()})
 	return server.Serve(ctx, l)
--- a/service/transport/transport_test.go
+++ b/service/transport/transport_test.go
@@ -20,7 +20,7 @@
 	"peridotpick.example/wire"
 )
 
-// authority signs certificates for the tests.
+// authority is a certificate authority for the tests.
 type authority struct {
 	key  *ecdsa.PrivateKey
 	cert *x509.Certificate
@@ -43,7 +43,7 @@
 	return &authority{key: key, cert: template, der: der}
 }
 
-// issue writes a key pair signed by a into dir and returns the files.
+// issue writes a key pair with a certificate signed by a, and the certificate of a, into dir.
 func (a *authority) issue(t *testing.T, dir string, until time.Time) settings.TLS {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -73,6 +73,7 @@
 	return files
 }
 
+// transport returns a transport with a new key pair signed by a.
 func (a *authority) transport(t *testing.T, until time.Time) *Transport {
 	keys, err := LoadKeys(a.issue(t, t.TempDir(), until))
 	if err != nil {
@@ -81,17 +82,18 @@
 	return New(keys)
 }
 
-// server is an entry that answers Announce with nothing.
-type server struct{}
+// emptyEntryServer answers all requests with empty replies.
+type emptyEntryServer struct{}
 
-func (server) Announce(context.Context, *wire.AnnounceRequest) (*wire.AnnounceReply, error) {
+func (emptyEntryServer) Announce(context.Context, *wire.AnnounceRequest) (*wire.AnnounceReply, error) {
 	return &wire.AnnounceReply{}, nil
 }
 
-func (server) Await(context.Context, *wire.AwaitRequest) (*wire.AwaitReply, error) {
+func (emptyEntryServer) Await(context.Context, *wire.AwaitRequest) (*wire.AwaitReply, error) {
 	return &wire.AwaitReply{}, nil
 }
 
+// announce calls Announce at the address over a new connection.
 func announce(t *Transport, address string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -113,7 +115,7 @@
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = Serve(ctx, l, wire.EntryHandler{Server: server{}}) }()
+	go func() { _ = Serve(ctx, l, wire.EntryHandler{Server: emptyEntryServer{}}) }()
 	address := l.Addr().String()
 
 	is.NoErr(announce(ca.transport(t, valid), address))
@@ -122,7 +124,7 @@
 	is.True(announce(New(nil), address) != nil)                                    // no TLS
 }
 
-func TestKeysAreReadAgain(t *testing.T) {
+func TestChangedKeyFilesAreReloaded(t *testing.T) {
 	is := is.New(t)
 	ca, next := newAuthority(t), newAuthority(t)
 	dir := t.TempDir()
@@ -132,10 +134,10 @@
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = Serve(ctx, l, wire.EntryHandler{Server: server{}}) }()
+	go func() { _ = Serve(ctx, l, wire.EntryHandler{Server: emptyEntryServer{}}) }()
 	is.NoErr(announce(ca.transport(t, time.Now().Add(time.Hour)), l.Addr().String()))
 	next.issue(t, dir, time.Now().Add(time.Hour))
-	keys.Reload()
+	keys.ForceRecheck()
 	is.NoErr(announce(next.transport(t, time.Now().Add(time.Hour)), l.Addr().String()))
 	is.True(announce(ca.transport(t, time.Now().Add(time.Hour)), l.Addr().String()) != nil)
 }
