--- a/service/agent/agent.go
+++ b/service/agent/agent.go
@@ -44,7 +44,7 @@
 	// maxMissedHeartbeats is the number of heartbeat intervals without a message from the entry after
 	// which its link is closed.
 	maxMissedHeartbeats = 3
-	// leaveNotice is the time for which a draining agent lets the notice of it reach the entries.
+	// leaveNotice is the time that a draining agent waits for its notice to reach the entries.
 	leaveNotice = 200 * time.Millisecond
 )
 
@@ -115,7 +115,7 @@
 	return a, nil
 }
 
-// announcedLabels returns the configured labels and those of the worker, data centre, rack and region.
+// announcedLabels returns the configured labels and those of worker, data centre, rack and region.
 func announcedLabels(s *settings.Agent) map[string]string {
 	labels := make(map[string]string, len(s.Labels)+4)
 	for name, value := range s.Labels {
@@ -161,7 +161,8 @@
 	a.log.Warn().Str("agent", a.info.ID).Msg("agent: drain timed out")
 }
 
-// isIdle reports whether the core has no tasks and no results that an entry has yet to acknowledge.
+// isIdle reports whether the core has no tasks and no results that linked entries have yet to
+// acknowledge.
 func (a *Agent) isIdle() bool {
 	idle := make(chan bool, 1)
 	a.post(func(time.Time) agentcore.Output {
--- a/service/confwatch/store_test.go
+++ b/service/confwatch/store_test.go
@@ -68,7 +68,7 @@
 	w.poll(ctx)
 	is.Equal(w.Current().Version, uint64(3))
 	is.True(w.Fresh(time.Now()))
-	is.True(!w.Fresh(time.Now().Add(InForceWithin + time.Second)))
+	is.True(!w.Fresh(time.Now().Add(maxPropagationTime + time.Second)))
 	old, err := s.Version(ctx, 1)
 	is.NoErr(err)
 	w.update(old, time.Now()) // a delayed answer with an older version
--- a/service/confwatch/watcher.go
+++ b/service/confwatch/watcher.go
@@ -12,14 +12,14 @@
 
 // Intervals and timeouts of polling.
 const (
-	// PollEvery is the pause between polls of the number of the version in force.
-	PollEvery = 1500 * time.Millisecond
+	// pollInterval is the pause between polls of the number of the version in force.
+	pollInterval = 1500 * time.Millisecond
 	// pollTimeout bounds one poll.
 	pollTimeout = time.Second
-	// InForceWithin is the time within which an accepted version is in force at all entries. An entry
-	// that could not confirm its version for that long serves repeatable calls only, since these do
-	// no harm even if a later version forbids them.
-	InForceWithin = 6 * time.Second
+	// maxPropagationTime is the time within which an accepted version is in force at all entries.
+	// An entry that could not confirm its version for that long serves repeatable calls only, since
+	// these do no harm even if a later version forbids them.
+	maxPropagationTime = 6 * time.Second
 )
 
 // Watcher polls the configuration and holds the newest version known to this process.
@@ -43,16 +43,16 @@
 // version refuses all work.
 func (w *Watcher) Current() *config.Compiled { return w.current.Load() }
 
-// Fresh reports whether the version was confirmed within InForceWithin before now.
+// Fresh reports whether the version was confirmed within maxPropagationTime before now.
 func (w *Watcher) Fresh(now time.Time) bool {
-	return now.Sub(time.Unix(0, w.lastConfirmed.Load())) <= InForceWithin
+	return now.Sub(time.Unix(0, w.lastConfirmed.Load())) <= maxPropagationTime
 }
 
 // Run polls the configuration until ctx ends.
 func (w *Watcher) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		w.poll(ctx)
-		sleep(ctx, PollEvery)
+		sleep(ctx, pollInterval)
 	}
 	return nil
 }
--- a/service/entry/control.go
+++ b/service/entry/control.go
@@ -29,8 +29,8 @@
 	// for each lost entry.
 	sweepInterval = time.Second
 	sweepBatch    = 64
-	// gatherDelay is the time after its deadline from which a submission of a lost entry is gathered
-	// and closed even though its request is not stored.
+	// gatherDelay is the time after its deadline from which a submission of a lost entry is resumed
+	// without its request: the results of its started tasks are collected, and it is closed.
 	gatherDelay = 5 * time.Second
 	// expireInterval is the period of deletions of expired claims.
 	expireInterval = 2 * time.Second
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// readPeers reads the rows of the other entries. If the set of live entries has changed, it notifies
+// readPeers reads the rows of the other entries. If the list of live entries has changed, it notifies
 // the agents, the claim store and the core.
 func (c *controlLoop) readPeers(ctx context.Context) error {
 	e := c.entry
@@ -192,7 +192,7 @@
 }
 
 // sweepOwner resumes up to sweepBatch open submissions of an entry incarnation and deletes stale
-// index rows. It returns the number of claims that the incarnation still owns.
+// index rows. It returns the number of claims read that the incarnation still owns.
 func (c *controlLoop) sweepOwner(ctx context.Context, owner wire.EntryInfo) (int, error) {
 	e := c.entry
 	submissions, err := e.claims.Owned(ctx, owner, sweepBatch)
@@ -219,8 +219,9 @@
 	return len(submissions) - len(stale), nil
 }
 
-// resume hands a submission to the core if its request is stored, or if its deadline has passed by
-// gatherDelay. Until then the caller may resubmit the request, which resumes it as well.
+// resume hands a submission to the core if its request is stored, or if its deadline passed at least
+// gatherDelay ago, so that its caller no longer waits for it. Before that the caller may resubmit the
+// request, which resumes the submission too.
 func (c *controlLoop) resume(row *claim.Row, version uint64) {
 	e := c.entry
 	request := e.decodeStoredRequest(row)
@@ -231,7 +232,7 @@
 	e.post(func(core *dispatch.Core, now time.Time) { core.Resume(now, row, version, request) })
 }
 
-// deleteExpired deletes one batch of claims that ended before the retention period.
+// deleteExpired deletes one batch of claims that ended longer ago than the configured retention.
 func (c *controlLoop) deleteExpired(ctx context.Context) error {
 	e := c.entry
 	conf := e.watcher.Current()
--- a/service/entry/links.go
+++ b/service/entry/links.go
@@ -19,7 +19,8 @@
 const (
 	// sendQueueSize is the number of messages that may wait for the writer of a link.
 	sendQueueSize = 1024
-	dialTimeout   = time.Second
+	// dialTimeout bounds one attempt to connect to an agent or another entry.
+	dialTimeout = time.Second
 	// helloTimeout bounds the exchange of the first messages on a link.
 	helloTimeout = 5 * time.Second
 	// retryMin and retryMax bound the pause between attempts to open a link, which doubles each time.
@@ -34,8 +35,8 @@
 	// maxMissedHeartbeats is the number of heartbeat intervals without a message from the agent after
 	// which its link is closed.
 	maxMissedHeartbeats = 3
-	// minHeartbeat is the shortest heartbeat interval.
-	minHeartbeat = 2 * time.Second
+	// minHeartbeatInterval is the shortest heartbeat interval.
+	minHeartbeatInterval = 2 * time.Second
 	// heartbeatBytes is the network traffic of one heartbeat exchange in bytes, packet headers
 	// included; heartbeatBudget is the traffic of all heartbeats of an entry in bytes per second.
 	heartbeatBytes  = 300
@@ -112,7 +113,7 @@
 // so that all heartbeats together stay within heartbeatBudget.
 func (m *linkManager) heartbeatInterval() time.Duration {
 	needed := time.Duration(float64(m.openLinks()) * heartbeatBytes / heartbeatBudget * float64(time.Second))
-	return max(minHeartbeat, needed)
+	return max(minHeartbeatInterval, needed)
 }
 
 // checkLinks sends heartbeats on links on which nothing was sent for a heartbeat interval, and closes
@@ -147,8 +148,8 @@
 	go m.maintainLink(id, address)
 }
 
-// maintainLink keeps a link to one agent incarnation open until the incarnation has ended or is given
-// up, and then reports that to the core.
+// maintainLink keeps a link to one agent incarnation open until the incarnation has ended or has been
+// unreachable for unreachableTimeout, and then reports it to the core as ended.
 func (m *linkManager) maintainLink(id rank.ID, address string) {
 	ctx := m.entry.work
 	refusals := 0
@@ -275,7 +276,7 @@
 	}
 }
 
-// writeLoop sends queued messages until the link closes. It then calls stop, which ends readLoop too.
+// writeLoop sends queued messages until the link closes. It then calls stop, which ends readLoop.
 func (m *linkManager) writeLoop(ctx context.Context, stream wire.EntryStream, l *agentLink, stop func()) {
 	defer stop()
 	for {
--- a/service/entry/power.go
+++ b/service/entry/power.go
@@ -226,8 +226,8 @@
 	}
 }
 
-// changePower wakes a worker or puts it to sleep by calling change. Errors are only logged, since the next
-// decision repeats the change.
+// changePower wakes a worker or puts it to sleep by calling change. Errors are only logged, since
+// the next decision repeats the change.
 func (p *powerControl) changePower(ctx context.Context, id string, change func(context.Context, string) error) {
 	timeoutCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
--- a/service/eventloop/queue.go
+++ b/service/eventloop/queue.go
@@ -18,8 +18,8 @@
 	stopped <-chan struct{}
 }
 
-// New returns a queue of up to size events. Take handles up to batch further events at a time. Post no
-// longer waits once stopped is closed.
+// New returns a queue of up to size events, of which Take handles up to batch further ones at a time.
+// Once stopped is closed, Post no longer waits.
 func New[C any](size, batch int, stopped <-chan struct{}) *Ring[C] {
 	return &Ring[C]{events: make(chan Event[C], size), batch: batch, stopped: stopped}
 }
--- a/service/members/members.go
+++ b/service/members/members.go
@@ -2,7 +2,7 @@
 // service. It tells which entries are alive and detects lost ones.
 //
 // Each entry renews its row every RenewEvery. An entry counts as alive if its row changes within
-// DeadAfter on the observer's own clock, so that clocks need not agree. An entry whose row has not
+// deadTimeout on the observer's own clock, so that clocks need not agree. An entry whose row has not
 // changed is lost, and is marked dead by a conditional write; a concurrent renewal either makes that
 // write fail or conflicts itself. The row of a dead entry stays until its incarnation owns no claim,
 // so that another entry continues a sweep of its claims that is interrupted.
@@ -29,8 +29,8 @@
 	RenewEvery = 3 * time.Second
 	// LookEvery is the period of reads of the rows of all entries.
 	LookEvery = 3 * time.Second
-	// DeadAfter is the time for which a row may stay unchanged before its entry counts as lost.
-	DeadAfter = 12 * time.Second
+	// deadTimeout is the time for which a row may stay unchanged before its entry counts as lost.
+	deadTimeout = 12 * time.Second
 )
 
 // MaxEntries is the largest number of entries of a region.
@@ -49,7 +49,7 @@
 	Renewals uint64 `json:"beat"`
 	// Config is the configuration version in force at the entry.
 	Config uint64 `json:"config"`
-	// Dead is set by another entry that found the row unchanged for longer than DeadAfter.
+	// Dead is set by another entry that found the row unchanged for longer than deadTimeout.
 	Dead bool `json:"dead,omitempty"`
 }
 
@@ -164,7 +164,7 @@
 func (r *Registry) Live(now time.Time) []wire.EntryInfo {
 	var list []wire.EntryInfo
 	for _, peer := range r.peers {
-		if !peer.row.Dead && now.Sub(peer.unchangedSince) <= DeadAfter {
+		if !peer.row.Dead && now.Sub(peer.unchangedSince) <= deadTimeout {
 			list = append(list, peer.row.Entry)
 		}
 	}
@@ -176,18 +176,18 @@
 func (r *Registry) Versions(now time.Time) map[string]uint64 {
 	versions := make(map[string]uint64)
 	for id, peer := range r.peers {
-		if !peer.row.Dead && now.Sub(peer.unchangedSince) <= DeadAfter {
+		if !peer.row.Dead && now.Sub(peer.unchangedSince) <= deadTimeout {
 			versions[id] = peer.row.Config
 		}
 	}
 	return versions
 }
 
-// Lost returns the entries whose rows are marked dead or unchanged for longer than DeadAfter, by ID.
+// Lost returns the entries whose rows are marked dead or unchanged for longer than deadTimeout, by ID.
 func (r *Registry) Lost(now time.Time) []wire.EntryInfo {
 	var list []wire.EntryInfo
 	for _, peer := range r.peers {
-		if peer.row.Dead || now.Sub(peer.unchangedSince) > DeadAfter {
+		if peer.row.Dead || now.Sub(peer.unchangedSince) > deadTimeout {
 			list = append(list, peer.row.Entry)
 		}
 	}
--- a/service/members/members_test.go
+++ b/service/members/members_test.go
@@ -66,7 +66,7 @@
 	is.NoErr(err)
 	is.NoErr(b.Look(ctx, start))
 	is.Equal(len(b.Live(start)), 2)
-	later := start.Add(DeadAfter + time.Second)
+	later := start.Add(deadTimeout + time.Second)
 	is.Equal(b.Lost(later), []wire.EntryInfo{entry("a", 1)})
 	_, err = a.Renew(ctx, later, 1) // the entry is alive but slow
 	is.NoErr(err)
--- a/service/process/process.go
+++ b/service/process/process.go
@@ -12,8 +12,8 @@
 	"peridotpick.example/service/transport"
 )
 
-// Setup opens the log on standard error at the given level and loads the keys of the transport; tls is
-// nil in development mode. The caller closes the sink. Errors name the offending setting.
+// Setup opens the log on standard error at the given level and loads the keys of the transport; tls
+// is nil in development mode. The caller closes the sink. Errors name the offending setting.
 func Setup(level string, tls *settings.TLS) (*logs.Sink, *transport.Transport, error) {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
--- a/service/transport/maintain.go
+++ b/service/transport/maintain.go
@@ -13,17 +13,17 @@
 	// retryMin and retryMax bound the pause between attempts, which doubles each time.
 	retryMin = 50 * time.Millisecond
 	retryMax = 100 * time.Millisecond
-	// ForgetAfter is the time after which an unreachable peer is given up.
-	ForgetAfter = 10 * time.Second
+	// unreachableTimeout is the time after which an unreachable peer is given up.
+	unreachableTimeout = 10 * time.Second
 )
 
-// Keep maintains a connection. It calls serve repeatedly until ctx ends or the peer is unreachable for
-// ForgetAfter. Each call of serve opens a connection, serves it until it breaks, and reports whether
-// it was open.
+// Keep maintains a connection to a peer. It calls serve repeatedly until ctx ends or the peer has
+// been unreachable for unreachableTimeout. Each call of serve opens a connection, serves it until it
+// breaks, and reports whether it was open.
 func Keep(ctx context.Context, serve func(context.Context) bool) {
 	pause := retryMin
 	lastUp := time.Now()
-	for ctx.Err() == nil && time.Since(lastUp) < ForgetAfter {
+	for ctx.Err() == nil && time.Since(lastUp) < unreachableTimeout {
 		if serve(ctx) {
 			lastUp = time.Now()
 			pause = retryMin
