--- a/service/confwatch/store_test.go
+++ b/service/confwatch/store_test.go
@@ -22,10 +22,10 @@
 	answersToLose int
 }
 
-func (f *lossyTable) Commit(ctx context.Context, ops []table.Op) (table.Commit, error) {
-	result, err := f.Table.Commit(ctx, ops)
-	if f.answersToLose > 0 {
-		f.answersToLose--
+func (t *lossyTable) Commit(ctx context.Context, ops []table.Op) (table.Commit, error) {
+	result, err := t.Table.Commit(ctx, ops)
+	if t.answersToLose > 0 {
+		t.answersToLose--
 		return table.Commit{}, errors.New("answer lost")
 	}
 	return result, err
--- a/service/members/members_test.go
+++ b/service/members/members_test.go
@@ -25,10 +25,10 @@
 	loseNextAnswer bool
 }
 
-func (f *lossyTable) Commit(ctx context.Context, ops []table.Op) (table.Commit, error) {
-	result, err := f.Table.Commit(ctx, ops)
-	if f.loseNextAnswer {
-		f.loseNextAnswer = false
+func (t *lossyTable) Commit(ctx context.Context, ops []table.Op) (table.Commit, error) {
+	result, err := t.Table.Commit(ctx, ops)
+	if t.loseNextAnswer {
+		t.loseNextAnswer = false
 		return table.Commit{}, errors.New("answer lost")
 	}
 	return result, err
@@ -36,8 +36,8 @@
 
 func TestRenewalAfterALostAnswerMeetsItsOwnRow(t *testing.T) {
 	is := is.New(t)
-	f := &lossyTable{Table: platformstandin.NewTable(1, 0, 0), loseNextAnswer: true}
-	r := New(f, "region", entry("a", 1))
+	lossy := &lossyTable{Table: platformstandin.NewTable(1, 0, 0), loseNextAnswer: true}
+	r := New(lossy, "region", entry("a", 1))
 	ctx := context.Background()
 	_, err := r.Renew(ctx, start, 1)
 	is.True(err != nil)
