--- a/lab/cluster/api_test.go
+++ b/lab/cluster/api_test.go
@@ -18,7 +18,8 @@
 	"peridotpick.example/lab/caller"
 )
 
-func kindOf(err error) errkind.Kind {
+// errorKind returns the error kind of a failed request; Internal if there was no answer.
+func errorKind(err error) errkind.Kind {
 	var failure *caller.Failure
 	if errors.As(err, &failure) {
 		return failure.Kind()
@@ -29,8 +30,9 @@
 	return errkind.Internal
 }
 
-// TestBadInput: every refusal names the field, and nothing runs.
-func TestBadInput(t *testing.T) {
+// TestRefusalOfBadInputNamesField checks that every refusal of bad input has its error kind and names
+// the field, and that no task starts.
+func TestRefusalOfBadInputNamesField(t *testing.T) {
 	c := startCluster(t, func(s *Shape) { s.Agents, s.Entries = 1, 1 })
 	task := `{"service":"tally","kind":"tray-scan","payload":{}}`
 	cases := []struct {
@@ -54,8 +56,8 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			_, err := c.caller(0).RawKeyed(http.MethodPost, "/v1/jobs", "bad-"+strings.ReplaceAll(tc.name, " ", "-"), []byte(tc.body))
-			is.Equal(kindOf(err), tc.want)
+			_, err := c.clientOf(0).RawKeyed(http.MethodPost, "/v1/jobs", "bad-"+strings.ReplaceAll(tc.name, " ", "-"), []byte(tc.body))
+			is.Equal(errorKind(err), tc.want)
 			var failure *caller.Failure
 			is.True(errors.As(err, &failure))
 			is.Equal(failure.Field, tc.field)
@@ -66,8 +68,8 @@
 	is.New(t).Equal(starts, 0)
 }
 
-// TestCredentials walks every route with missing, wrong, expired and other
-// roles' tokens, on an entry that is not in development mode.
+// TestCredentials sends a request to every route with a missing, a wrong and an expired token and with
+// tokens of other roles, to an entry that is not in development mode.
 func TestCredentials(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, func(s *Shape) {
@@ -84,58 +86,58 @@
 	readRoutes := [][2]string{{"GET", "/v1/admin/config"}, {"GET", "/v1/admin/config/history"}, {"GET", "/v1/admin/config/history/1"}, {"POST", "/v1/admin/config/validate"},
 		{"GET", "/v1/admin/workers"}, {"GET", "/v1/admin/instances"}, {"GET", "/v1/admin/teams"}, {"GET", "/v1/admin/metrics"}, {"GET", "/"}}
 	writeRoutes := [][2]string{{"PUT", "/v1/admin/config"}}
-	try := func(route [2]string, token string) errkind.Kind {
+	requestAs := func(route [2]string, token string) errkind.Kind {
 		client := caller.NewWithToken(base, token)
 		_, err := client.Raw(route[0], route[1], "", nil)
-		return kindOf(err)
+		return errorKind(err)
 	}
 	for _, route := range append(append(append([][2]string{}, callerRoutes...), readRoutes...), writeRoutes...) {
 		for _, token := range []string{"", "wrong", "old"} {
-			is.Equal(try(route, token), errkind.Unauthorized)
+			is.Equal(requestAs(route, token), errkind.Unauthorized)
 		}
 	}
 	for _, route := range callerRoutes {
-		is.Equal(try(route, "op"), errkind.Forbidden)
-		is.Equal(try(route, "ro"), errkind.Forbidden)
+		is.Equal(requestAs(route, "op"), errkind.Forbidden)
+		is.Equal(requestAs(route, "ro"), errkind.Forbidden)
 	}
 	for _, route := range append(readRoutes, writeRoutes...) {
-		is.Equal(try(route, "team-a"), errkind.Forbidden)
+		is.Equal(requestAs(route, "team-a"), errkind.Forbidden)
 	}
-	is.Equal(try(writeRoutes[0], "ro"), errkind.Forbidden)
+	is.Equal(requestAs(writeRoutes[0], "ro"), errkind.Forbidden)
 	for _, route := range readRoutes {
-		kind := try(route, "ro")
-		is.True(kind == errkind.OK || kind == errkind.InvalidRequest) // an empty document is refused for what it is
+		kind := requestAs(route, "ro")
+		is.True(kind == errkind.OK || kind == errkind.InvalidRequest) // the empty document itself is not valid
 	}
-	// Teams do not see each other's jobs, and their keys do not clash.
+	// A team cannot see or cancel another team's job, and the same key of two teams is no conflict.
 	a, b := caller.NewWithToken(base, "team-a"), caller.NewWithToken(base, "team-b")
-	_, err := a.Submit("shared", job("a", "shift-close", 1, 5))
+	_, err := a.Submit("shared", newJob("a", "shift-close", 1, 5))
 	is.NoErr(err)
 	_, _, err = b.Get("shared", 0)
-	is.Equal(kindOf(err), errkind.NotFound)
+	is.Equal(errorKind(err), errkind.NotFound)
 	_, err = b.Cancel("shared")
-	is.Equal(kindOf(err), errkind.NotFound)
-	_, err = b.Submit("shared", job("b", "shift-close", 1, 5))
+	is.Equal(errorKind(err), errkind.NotFound)
+	_, err = b.Submit("shared", newJob("b", "shift-close", 1, 5))
 	is.NoErr(err)
 }
 
-// race lets 4 operators put n changes in all, each built on the version it
-// names, and returns the accepted versions in the order of acceptance. accepted
-// is called with each; may be nil.
-func race(c *Cluster, n int, accepted func(version uint64)) []uint64 {
+// raceOperators lets 4 operators make n changes of the configuration in all, each built on the version
+// that was in force when the operator read it. It returns the accepted versions in the order of their
+// answers. accepted is called with each; may be nil.
+func raceOperators(c *Cluster, n int, accepted func(version uint64)) []uint64 {
 	var mu sync.Mutex
 	var versions []uint64
-	var all sync.WaitGroup
+	var operatorsDone sync.WaitGroup
 	const operators = 4
 	for operator := range operators {
-		all.Add(1)
+		operatorsDone.Add(1)
 		go func() {
-			defer all.Done()
-			for done := 0; done < n/operators; {
-				version, ok := putOnce(c, operator, done)
+			defer operatorsDone.Done()
+			for changesDone := 0; changesDone < n/operators; {
+				version, ok := addTeam(c, operator, changesDone)
 				if !ok {
-					continue // lost the race, or the answer: look again
+					continue // another change was accepted first, or the answer was lost: read and try again
 				}
-				done++
+				changesDone++
 				mu.Lock()
 				versions = append(versions, version)
 				mu.Unlock()
@@ -145,12 +147,13 @@
 			}
 		}()
 	}
-	all.Wait()
+	operatorsDone.Wait()
 	return versions
 }
 
-// putOnce replaces the version in force by one with a team more.
-func putOnce(c *Cluster, operator, n int) (uint64, bool) {
+// addTeam replaces the version in force, as read from an entry, by one with one more team. It returns
+// the new version, and false if the change was not accepted or its answer was lost.
+func addTeam(c *Cluster, operator, n int) (uint64, bool) {
 	base, ok := currentVersion(c, operator%3)
 	if !ok {
 		return 0, false
@@ -161,7 +164,7 @@
 	if err != nil {
 		return 0, false
 	}
-	reply, err := c.caller(operator%3).Raw(http.MethodPut, "/v1/admin/config", fmt.Sprint(base), body)
+	reply, err := c.clientOf(operator%3).Raw(http.MethodPut, "/v1/admin/config", fmt.Sprint(base), body)
 	if err != nil {
 		return 0, false
 	}
@@ -169,28 +172,29 @@
 	return v.Number, json.Unmarshal(reply.Body, &v) == nil
 }
 
-// TestRacingOperators: each change is built on the version it names, none is
-// lost and none reverts.
-func TestRacingOperators(t *testing.T) {
+// TestRacingOperatorsLoseNoChange guards against accepted configuration changes that are lost or that
+// share a version when operators race and answers of the table service are lost.
+func TestRacingOperatorsLoseNoChange(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, func(s *Shape) { s.Agents = 1 })
 	faults := c.TableFaults()
 	faults.LoseAnswers = 0.2
 	c.Table.SetFaults(faults)
-	versions := race(c, 20, nil)
+	versions := raceOperators(c, 20, nil)
 	c.Table.SetFaults(c.TableFaults())
 	is.Equal(len(versions), 20)
 	seen := make(map[uint64]bool)
 	for _, number := range versions {
 		is.True(!seen[number]) // no version is accepted twice
 		seen[number] = true
-		_, err := c.caller(0).Raw(http.MethodGet, fmt.Sprintf("/v1/admin/config/history/%d", number), "", nil)
+		_, err := c.clientOf(0).Raw(http.MethodGet, fmt.Sprintf("/v1/admin/config/history/%d", number), "", nil)
 		is.NoErr(err) // an accepted change is never lost
 	}
 }
 
+// currentVersion reads the number of the configuration version in force from an entry.
 func currentVersion(c *Cluster, entry int) (uint64, bool) {
-	reply, err := c.caller(entry).Raw(http.MethodGet, "/v1/admin/config", "", nil)
+	reply, err := c.clientOf(entry).Raw(http.MethodGet, "/v1/admin/config", "", nil)
 	if err != nil {
 		return 0, false
 	}
@@ -198,8 +202,9 @@
 	return v.Number, json.Unmarshal(reply.Body, &v) == nil
 }
 
-// TestOpenAPI: the published document names exactly the routes that are served.
-func TestOpenAPI(t *testing.T) {
+// TestOpenAPIDescribesServedRoutes checks that the published document has exactly the routes that an
+// entry serves, by a comparison with the source of package entry.
+func TestOpenAPIDescribesServedRoutes(t *testing.T) {
 	is := is.New(t)
 	data, err := os.ReadFile("../../docs/openapi.json")
 	is.NoErr(err)
--- a/lab/cluster/bench_test.go
+++ b/lab/cluster/bench_test.go
@@ -14,13 +14,15 @@
 	"peridotpick.example/lab/caller"
 )
 
-func startBench(b *testing.B, change func(*Shape)) *Cluster {
+// startBenchCluster starts the Association's deployment with all workers awake, which change may
+// alter, waits until it is ready, and stops it when the benchmark ends.
+func startBenchCluster(b *testing.B, change func(*Shape)) *Cluster {
 	b.Helper()
-	shape := Association()
-	shape.Seed = 1
-	shape.Document.Policy.MinAwake = shape.Agents
-	change(&shape)
-	c, err := Start(shape)
+	spec := Association()
+	spec.Seed = 1
+	spec.Document.Policy.MinAwake = spec.Agents
+	change(&spec)
+	c, err := Start(spec)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -33,58 +35,60 @@
 	return c
 }
 
-func report(b *testing.B, took []time.Duration) {
-	slices.Sort(took)
+// reportQuantiles reports the median and the 99th percentile of durations in milliseconds.
+func reportQuantiles(b *testing.B, durations []time.Duration) {
+	slices.Sort(durations)
 	for _, q := range []struct {
 		name string
 		at   float64
 	}{{"p50-ms", 0.5}, {"p99-ms", 0.99}} {
-		b.ReportMetric(float64(took[int(q.at*float64(len(took)-1))])/float64(time.Millisecond), q.name)
+		b.ReportMetric(float64(durations[int(q.at*float64(len(durations)-1))])/float64(time.Millisecond), q.name)
 	}
 }
 
-// BenchmarkCall is the response time of a call whose backend server answers at
-// once, without a claim, at 2,000 calls a second.
+// BenchmarkCall measures the response time of calls without a claim whose backend server answers at
+// once, at 2,000 calls a second.
 func BenchmarkCall(b *testing.B) { benchmarkCall(b, false, 2000) }
 
-// BenchmarkKeyedCall is the same with a claim and a synced write of 5 ms, at 100
-// calls a second.
+// BenchmarkKeyedCall measures the response time of calls with a claim, which takes a synced write of
+// 5 ms, at 100 calls a second.
 func BenchmarkKeyedCall(b *testing.B) { benchmarkCall(b, true, 100) }
 
+// benchmarkCall sends b.N calls, rate a second at fixed times, to the entries in turn.
 func benchmarkCall(b *testing.B, keyed bool, rate int) {
-	c := startBench(b, func(*Shape) {})
-	clients := []*caller.Client{c.caller(0), c.caller(1), c.caller(2)}
-	took := make([]time.Duration, b.N)
-	var all sync.WaitGroup
-	begin := time.Now()
+	c := startBenchCluster(b, func(*Shape) {})
+	clients := []*caller.Client{c.clientOf(0), c.clientOf(1), c.clientOf(2)}
+	responseTimes := make([]time.Duration, b.N)
+	var callsDone sync.WaitGroup
+	start := time.Now()
 	b.ResetTimer()
 	for i := range b.N {
-		at := begin.Add(time.Duration(i) * time.Second / time.Duration(rate))
-		time.Sleep(time.Until(at))
-		all.Add(1)
+		plannedAt := start.Add(time.Duration(i) * time.Second / time.Duration(rate))
+		time.Sleep(time.Until(plannedAt))
+		callsDone.Add(1)
 		go func() {
-			defer all.Done()
+			defer callsDone.Done()
 			key := ""
 			if keyed {
 				key = fmt.Sprintf("bench-%d-%d", b.N, i)
 			}
-			began := time.Now()
+			sentAt := time.Now()
 			if _, err := clients[i%3].Call(AssociationService, "allergen-flag", key, 10*time.Second, []byte(`{}`)); err != nil {
 				b.Error(err)
 			}
-			took[i] = time.Since(began)
+			responseTimes[i] = time.Since(sentAt)
 		}()
 	}
-	all.Wait()
-	report(b, took)
+	callsDone.Wait()
+	reportQuantiles(b, responseTimes)
 }
 
-// BenchmarkStarts is the rate of task starts through one entry, with empty
-// tasks in jobs of 140; one iteration is one task.
+// BenchmarkStarts measures the rate of task starts through one entry, with empty tasks in jobs of 140
+// from 24 callers; one iteration is one task.
 func BenchmarkStarts(b *testing.B) {
 	const tasks = 140
 	const callers = 24
-	c := startBench(b, func(s *Shape) {
+	c := startBenchCluster(b, func(s *Shape) {
 		s.Entries, s.Slots, s.Queue, s.Connections = 1, 64, 64, 128
 		s.Tune = func(d *dispatch.Settings) { d.MaxWaiting = 100_000 }
 	})
@@ -92,14 +96,14 @@
 	for range tasks {
 		body.Tasks = append(body.Tasks, caller.Task{Service: AssociationService, Kind: "tray-scan", Payload: json.RawMessage(`{}`)})
 	}
-	client := c.caller(0)
+	client := c.clientOf(0)
 	var next atomic.Int64
-	var all sync.WaitGroup
+	var callersDone sync.WaitGroup
 	b.ResetTimer()
 	for range callers {
-		all.Add(1)
+		callersDone.Add(1)
 		go func() {
-			defer all.Done()
+			defer callersDone.Done()
 			for {
 				n := next.Add(tasks)
 				if n-tasks >= int64(b.N) {
@@ -112,72 +116,72 @@
 			}
 		}()
 	}
-	all.Wait()
+	callersDone.Wait()
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "starts/s")
 }
 
-// BenchmarkTakeover is the time from the death of an entry to the answer by
-// another one, for a job whose tasks ran on meanwhile.
+// BenchmarkTakeover measures the time from the crash of an entry to the answer of another one to the
+// same job, whose tasks run on meanwhile.
 func BenchmarkTakeover(b *testing.B) {
-	var took []time.Duration
+	var takeoverTimes []time.Duration
 	for i := range b.N {
-		c := startBench(b, func(*Shape) {})
+		c := startBenchCluster(b, func(*Shape) {})
 		key := fmt.Sprintf("takeover-%d", i)
-		j := job(key, "shift-close", 20, 100)
-		lost := make(chan error, 1)
-		go func() { _, err := c.caller(0).Submit(key, j); lost <- err }()
+		j := newJob(key, "shift-close", 20, 100)
+		firstAnswer := make(chan error, 1)
+		go func() { _, err := c.clientOf(0).Submit(key, j); firstAnswer <- err }()
 		time.Sleep(50 * time.Millisecond)
-		died := time.Now()
+		killedAt := time.Now()
 		c.Entries()[0].Kill()
-		<-lost
-		if _, err := c.caller(1).Submit(key, j); err != nil {
+		<-firstAnswer
+		if _, err := c.clientOf(1).Submit(key, j); err != nil {
 			b.Fatal(err)
 		}
-		took = append(took, time.Since(died))
+		takeoverTimes = append(takeoverTimes, time.Since(killedAt))
 	}
-	report(b, took)
+	reportQuantiles(b, takeoverTimes)
 }
 
-// BenchmarkConfiguration lets 4 operators race under lost answers of the table
-// service, with an entry replaced in the middle, and reports the time from the
-// acceptance of a change until it is in force on every live entry.
+// BenchmarkConfiguration lets 4 operators race while the table service loses requests and answers, and
+// replaces an entry meanwhile. It reports the time from the acceptance of a change until it is in
+// force on every running entry.
 func BenchmarkConfiguration(b *testing.B) {
-	c := startBench(b, func(s *Shape) { s.Entries = 4 })
+	c := startBenchCluster(b, func(s *Shape) { s.Entries = 4 })
 	faults := c.TableFaults()
 	faults.LoseAnswers, faults.DropRequests = 0.1, 0.1
 	c.Table.SetFaults(faults)
 	var mu sync.Mutex
-	var took []time.Duration
-	var all sync.WaitGroup
+	var delays []time.Duration
+	var watchers sync.WaitGroup
 	time.AfterFunc(3*time.Second, func() {
 		c.Entries()[3].Kill()
 		_, _ = c.AddEntry()
 	})
-	race(c, b.N/4*4, func(version uint64) {
-		at := time.Now()
-		all.Add(1)
+	raceOperators(c, b.N/4*4, func(version uint64) {
+		acceptedAt := time.Now()
+		watchers.Add(1)
 		go func() {
-			defer all.Done()
+			defer watchers.Done()
 			for !inForce(c, version) {
 				time.Sleep(5 * time.Millisecond)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			took = append(took, time.Since(at))
+			delays = append(delays, time.Since(acceptedAt))
 		}()
 	})
-	all.Wait()
-	if len(took) == 0 {
-		return // the first, single iteration of the benchmark
+	watchers.Wait()
+	if len(delays) == 0 {
+		return // b.N is 1 at first, which is less than one change for each operator
 	}
-	slices.Sort(took)
-	b.ReportMetric(float64(len(took)), "changes")
-	b.ReportMetric(took[len(took)-1].Seconds(), "slowest-s")
-	b.ReportMetric(took[len(took)/2].Seconds(), "p50-s")
+	slices.Sort(delays)
+	b.ReportMetric(float64(len(delays)), "changes")
+	b.ReportMetric(delays[len(delays)-1].Seconds(), "slowest-s")
+	b.ReportMetric(delays[len(delays)/2].Seconds(), "p50-s")
 }
 
-// inForce reports whether all running entries have at least the version. One
-// that has just started and has none yet serves nothing, and counts as well.
+// inForce reports whether all running entries have the version or a later one. An entry that has just
+// started and has no configuration yet serves no request and does not count.
 func inForce(c *Cluster, version uint64) bool {
 	for _, m := range c.Entries() {
 		if v := m.Entry.ConfigVersion(); m.Running() && v != 0 && v < version {
@@ -187,18 +191,18 @@
 	return true
 }
 
-// BenchmarkMembership measures how long entries take to learn that an agent
-// joined, leaves, or died.
+// BenchmarkMembership measures how long it takes until all entries know that an agent has joined, is
+// leaving or has crashed, and reports the slowest of each.
 func BenchmarkMembership(b *testing.B) {
-	c := startBench(b, func(s *Shape) {
+	c := startBenchCluster(b, func(s *Shape) {
 		s.Asleep = 1
 		s.WakeTime = time.Hour
 		s.Document.Policy.MinAwake = 0
 		s.Document.Policy.Headroom = 0
 	})
-	worker := c.machines()[len(c.machines())-1].ID
+	worker := c.workerList()[len(c.workerList())-1].ID
 	n := len(c.Nodes())
-	until := func(want int) time.Duration {
+	waitForUsable := func(want int) time.Duration {
 		began := time.Now()
 		for {
 			ok := true
@@ -212,21 +216,21 @@
 		}
 	}
 	slowest := make(map[string]time.Duration)
-	note := func(what string, took time.Duration) { slowest[what] = max(slowest[what], took) }
+	recordSlowest := func(what string, took time.Duration) { slowest[what] = max(slowest[what], took) }
 	for range b.N {
-		if err := c.StartNode(worker); err != nil {
+		if err := c.StartWorker(worker); err != nil {
 			b.Fatal(err)
 		}
-		note("join-s", until(n+1))
+		recordSlowest("join-s", waitForUsable(n+1))
 		go c.StopNode(worker)
-		note("leave-s", until(n))
+		recordSlowest("leave-s", waitForUsable(n))
 		time.Sleep(time.Second)
-		if err := c.StartNode(worker); err != nil {
+		if err := c.StartWorker(worker); err != nil {
 			b.Fatal(err)
 		}
-		until(n + 1)
+		waitForUsable(n + 1)
 		go c.KillNode(worker)
-		note("death-s", until(n))
+		recordSlowest("death-s", waitForUsable(n))
 		time.Sleep(time.Second)
 	}
 	for what, took := range slowest {
--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster runs entries, agents, backend servers and the platform's
-// stand-in inside one process, over loopback TCP, for the demo, the load tool
-// and tests. Every part is the real one but for the stand-ins.
+// Package cluster runs a whole deployment inside one process, over loopback TCP, for the demo, the
+// load tool, the capacity sweeps and tests. Entries and agents are the real implementations; the
+// platform and the backend servers are fakes (packages platformstandin and backendserver).
 package cluster
 
 import (
@@ -31,35 +31,50 @@
 
 // Shape describes a deployment.
 type Shape struct {
-	Region      string
+	Region string
+	// DataCentres are assigned to the racks and to the entries in turn.
 	DataCentres []string
-	Service     string
-	Entries     int
-	// Agents is the number of backend servers, each on a worker of its own.
-	Agents      int
-	Slots       int
+	// Service is the service that all backend servers offer.
+	Service string
+	// Entries is the number of entries at the start.
+	Entries int
+	// Agents is the number of backend servers, each with its agent on a worker of its own.
+	Agents int
+	// Slots is the number of tasks that a backend server runs at once.
+	Slots int
+	// Connections is the number of connections of an agent to its backend server.
 	Connections int
-	Queue       int
-	RackSize    int
-	Cores       int
-	MemoryMB    int
+	// Queue is the number of tasks that may wait at an agent.
+	Queue int
+	// RackSize is the number of workers in a rack.
+	RackSize int
+	// Cores and MemoryMB are the resources of each worker.
+	Cores    int
+	MemoryMB int
 	// Credentials turns development mode off at the entries, so that callers need
 	// tokens; processes still talk without TLS on loopback.
 	Credentials bool
-	// Asleep is the number of workers asleep at the start, the last ones.
-	Asleep   int
+	// Asleep is the number of workers asleep at the start, the last ones in the worker list.
+	Asleep int
+	// WakeTime is the time that a worker takes to wake.
 	WakeTime time.Duration
-	// WriteLatency is that of the table service.
+	// WriteLatency is the mean time of a write to the table service.
 	WriteLatency time.Duration
-	Document     config.Document
-	Policy       rank.Policy
-	Seed         uint64
-	Tune         func(*dispatch.Settings)
-	Logs         *logs.Sink
+	// Document is the configuration that is in force at the start.
+	Document config.Document
+	// Policy selects how entries choose among agents; empty is the product's own policy.
+	Policy rank.Policy
+	// Seed seeds the entries and the faults of the table service.
+	Seed uint64
+	// Tune changes the dispatch settings of each entry before it starts; may be nil.
+	Tune func(*dispatch.Settings)
+	// Logs receives the logs of entries and agents; nil discards them.
+	Logs *logs.Sink
 }
 
-// Node is one backend server with its agent.
-type Node struct {
+// RunningWorker is a worker whose backend server and agent run.
+type RunningWorker struct {
+	// Worker is the worker's ID.
 	Worker string
 	Server *backendserver.Server
 	Agent  *agent.Agent
@@ -67,8 +82,8 @@
 	done   chan struct{}
 }
 
-// Member is one entry.
-type Member struct {
+// EntryInstance is one entry, which may have ended.
+type EntryInstance struct {
 	Entry   *entry.Entry
 	Metrics metrics.Registry
 	stop    context.CancelFunc
@@ -76,7 +91,7 @@
 }
 
 // Running reports whether the entry has not ended.
-func (m *Member) Running() bool {
+func (m *EntryInstance) Running() bool {
 	select {
 	case <-m.done:
 		return false
@@ -86,61 +101,66 @@
 }
 
 // Stop drains the entry and waits for its end.
-func (m *Member) Stop() { m.stop(); <-m.done }
+func (m *EntryInstance) Stop() { m.stop(); <-m.done }
 
-// Kill ends the entry as a crash would.
-func (m *Member) Kill() { m.Entry.Abort(); <-m.done }
+// Kill ends the entry without draining it, as a crash would.
+func (m *EntryInstance) Kill() { m.Entry.Abort(); <-m.done }
 
-// Cluster is a running deployment.
+// Cluster is a running deployment: its fake platform, its entries and its workers.
 type Cluster struct {
 	Shape   Shape
 	Table   *platformstandin.Table
 	Objects *platformstandin.Objects
 	Workers *platformstandin.Workers
+	// Journal records the starts of tasks at all backend servers.
 	Journal *backendserver.Journal
 
-	platform *platformstandin.Server
-	address  string
+	platform        *platformstandin.Server
+	platformAddress string
 
-	mu      sync.Mutex
-	nodes   map[string]*Node
-	members []*Member
-	serial  int
+	mu sync.Mutex
+	// runningWorkers is keyed by worker ID.
+	runningWorkers map[string]*RunningWorker
+	// entries holds all entries ever started, in order.
+	entries        []*EntryInstance
+	entriesStarted int
 }
 
-// drainNotice is enough for the load tool's balancer, which asks for health
-// four times a second.
+// drainNotice is the time between the failing health check of an entry and its refusal of requests.
+// The load tool's balancer checks the health four times a second, so it notices in time.
 const drainNotice = 600 * time.Millisecond
 
+// loopback is the address that all processes listen on, with a port that the system chooses.
 const loopback = "127.0.0.1:0"
 
-// Start starts a deployment and puts its configuration in force.
-func Start(shape Shape) (*Cluster, error) {
-	if shape.Logs == nil {
-		shape.Logs = logs.Discard()
+// Start stores the deployment's configuration and starts its entries and agents. It does not wait until
+// they are connected; see Ready.
+func Start(spec Shape) (*Cluster, error) {
+	if spec.Logs == nil {
+		spec.Logs = logs.Discard()
 	}
 	c := &Cluster{
-		Shape: shape, Table: platformstandin.NewTable(shape.Seed, 0, 0), Objects: platformstandin.NewObjects(),
-		Journal: backendserver.NewJournal(), nodes: make(map[string]*Node),
+		Shape: spec, Table: platformstandin.NewTable(spec.Seed, 0, 0), Objects: platformstandin.NewObjects(),
+		Journal: backendserver.NewJournal(), runningWorkers: make(map[string]*RunningWorker),
 	}
 	c.Table.SetFaults(c.TableFaults())
-	c.Workers = platformstandin.NewWorkers(shape.WakeTime, c.machines())
-	c.Workers.OnAwake = func(id string) { _ = c.StartNode(id) }
+	c.Workers = platformstandin.NewWorkers(spec.WakeTime, c.workerList())
+	c.Workers.OnAwake = func(id string) { _ = c.StartWorker(id) }
 	c.Workers.OnAsleep = func(id string) { c.StopNode(id) }
 	if err := c.servePlatform(); err != nil {
 		return nil, err
 	}
-	if err := c.putConfig(); err != nil {
+	if err := c.storeConfig(); err != nil {
 		return nil, err
 	}
-	for range shape.Entries {
+	for range spec.Entries {
 		if _, err := c.AddEntry(); err != nil {
 			return nil, err
 		}
 	}
-	for i, w := range c.machines() {
-		if i < shape.Agents-shape.Asleep {
-			if err := c.StartNode(w.ID); err != nil {
+	for i, w := range c.workerList() {
+		if i < spec.Agents-spec.Asleep {
+			if err := c.StartWorker(w.ID); err != nil {
 				return nil, err
 			}
 		}
@@ -148,21 +168,23 @@
 	return c, nil
 }
 
+// servePlatform starts the fake platform.
 func (c *Cluster) servePlatform() error {
 	l, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return eris.Wrap(err, "listen")
 	}
-	c.address = l.Addr().String()
+	c.platformAddress = l.Addr().String()
 	c.platform = platformstandin.NewServer(c.Table, c.Objects, c.Workers)
 	go func() { _ = c.platform.Serve(l) }()
 	return nil
 }
 
-// Platform returns the IP:port of the platform's stand-in.
-func (c *Cluster) Platform() string { return c.address }
+// Platform returns the IP:port of the fake platform.
+func (c *Cluster) Platform() string { return c.platformAddress }
 
-func (c *Cluster) putConfig() error {
+// storeConfig checks the configuration and writes it to the table service as version 1.
+func (c *Cluster) storeConfig() error {
 	document, err := json.Marshal(c.Shape.Document)
 	if err != nil {
 		return eris.Wrap(err, "encode configuration")
@@ -174,8 +196,9 @@
 	return err
 }
 
-// machines lists the workers of the shape.
-func (c *Cluster) machines() []table.Worker {
+// workerList returns the workers of the deployment, awake or asleep, as the platform lists them at
+// the start.
+func (c *Cluster) workerList() []table.Worker {
 	s := c.Shape
 	list := make([]table.Worker, s.Agents)
 	for i := range list {
@@ -193,77 +216,77 @@
 	return list
 }
 
-// AddEntry starts one more entry.
-func (c *Cluster) AddEntry() (*Member, error) {
+// AddEntry starts one more entry, in the next data centre in turn.
+func (c *Cluster) AddEntry() (*EntryInstance, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.serial++
+	c.entriesStarted++
 	s := &settings.Entry{
-		ID: fmt.Sprintf("entry-%d", c.serial), Region: c.Shape.Region,
-		DataCentre: c.Shape.DataCentres[(c.serial-1)%len(c.Shape.DataCentres)],
+		ID: fmt.Sprintf("entry-%d", c.entriesStarted), Region: c.Shape.Region,
+		DataCentre: c.Shape.DataCentres[(c.entriesStarted-1)%len(c.Shape.DataCentres)],
 		Listen:     loopback, PeerListen: loopback, PeerAddress: loopback, Dev: !c.Shape.Credentials,
-		Platform: settings.Platform{Address: c.address, Timeout: settings.Duration(2 * time.Second)},
+		Platform: settings.Platform{Address: c.platformAddress, Timeout: settings.Duration(2 * time.Second)},
 		Limits:   settings.DefaultEntryLimits(),
 	}
 	s.Limits.DrainNotice = settings.Duration(drainNotice)
-	platform := tableclient.New(c.address, s.Platform.Timeout.Std())
+	platform := tableclient.New(c.platformAddress, s.Platform.Timeout.Std())
 	registry := metrics.NewRegistry()
 	e, err := entry.New(s, entry.Deps{
 		Logs: c.Shape.Logs, Table: platform, Objects: platform.Objects(), Workers: platform.Workers(),
 		Transport: transport.New(nil), Metrics: registry, Policy: c.Shape.Policy,
-		Seed: c.Shape.Seed + uint64(c.serial), Tune: c.Shape.Tune,
+		Seed: c.Shape.Seed + uint64(c.entriesStarted), Tune: c.Shape.Tune,
 	})
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	m := &Member{Entry: e, Metrics: registry, stop: stop, done: make(chan struct{})}
+	instance := &EntryInstance{Entry: e, Metrics: registry, stop: stop, done: make(chan struct{})}
 	go func() {
-		defer close(m.done)
+		defer close(instance.done)
 		_ = e.Run(ctx)
 	}()
-	c.members = append(c.members, m)
-	return m, nil
+	c.entries = append(c.entries, instance)
+	return instance, nil
 }
 
 // Entries returns all entries ever started, running or not.
-func (c *Cluster) Entries() []*Member {
+func (c *Cluster) Entries() []*EntryInstance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]*Member(nil), c.members...)
+	return append([]*EntryInstance(nil), c.entries...)
 }
 
-// Node returns the node of a worker, or nil.
-func (c *Cluster) Node(worker string) *Node {
+// Node returns the running worker with an ID, or nil.
+func (c *Cluster) Node(worker string) *RunningWorker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.nodes[worker]
+	return c.runningWorkers[worker]
 }
 
-// Nodes returns the running nodes.
-func (c *Cluster) Nodes() []*Node {
+// Nodes returns the running workers in the order of the worker list.
+func (c *Cluster) Nodes() []*RunningWorker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	list := make([]*Node, 0, len(c.nodes))
-	for _, w := range c.machines() {
-		if n := c.nodes[w.ID]; n != nil {
-			list = append(list, n)
+	list := make([]*RunningWorker, 0, len(c.runningWorkers))
+	for _, w := range c.workerList() {
+		if running := c.runningWorkers[w.ID]; running != nil {
+			list = append(list, running)
 		}
 	}
 	return list
 }
 
-// StartNode starts the backend server and the agent of a worker.
-func (c *Cluster) StartNode(worker string) error {
+// StartWorker starts the backend server and the agent of a worker. It does nothing if they run.
+func (c *Cluster) StartWorker(worker string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.nodes[worker] != nil {
+	if c.runningWorkers[worker] != nil {
 		return nil
 	}
-	var machine table.Worker
-	for _, w := range c.machines() {
+	var listed table.Worker
+	for _, w := range c.workerList() {
 		if w.ID == worker {
-			machine = w
+			listed = w
 		}
 	}
 	server, err := backendserver.New("backend-"+worker, loopback, c.Journal)
@@ -271,22 +294,23 @@
 		return err
 	}
 	go func() { _ = server.Serve() }()
-	a, err := agent.New(c.agentSettings(machine, server.Address()), agent.Deps{
-		Logs: c.Shape.Logs, Table: tableclient.New(c.address, time.Second), Transport: transport.New(nil),
+	a, err := agent.New(c.agentSettings(listed, server.Address()), agent.Deps{
+		Logs: c.Shape.Logs, Table: tableclient.New(c.platformAddress, time.Second), Transport: transport.New(nil),
 	})
 	if err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	n := &Node{Worker: worker, Server: server, Agent: a, stop: stop, done: make(chan struct{})}
+	running := &RunningWorker{Worker: worker, Server: server, Agent: a, stop: stop, done: make(chan struct{})}
 	go func() {
-		defer close(n.done)
+		defer close(running.done)
 		_ = a.Run(ctx)
 	}()
-	c.nodes[worker] = n
+	c.runningWorkers[worker] = running
 	return nil
 }
 
+// agentSettings returns the settings of the agent on a worker; backend is the backend server's address.
 func (c *Cluster) agentSettings(w table.Worker, backend string) *settings.Agent {
 	s := settings.DefaultAgent()
 	s.ID = "agent-" + w.ID
@@ -295,93 +319,97 @@
 	s.Listen, s.Address, s.Backend = loopback, loopback, backend
 	s.Slots, s.Connections, s.Queue = c.Shape.Slots, c.Shape.Connections, c.Shape.Queue
 	s.Dev = true
-	for _, m := range c.members {
-		s.Entries = append(s.Entries, m.Entry.Info().Address)
+	for _, e := range c.entries {
+		s.Entries = append(s.Entries, e.Entry.Info().Address)
 	}
 	return &s
 }
 
-// StopNode drains the agent of a worker and then ends its backend server.
+// StopNode drains the agent of a worker and then ends its backend server. It does nothing if the
+// worker does not run.
 func (c *Cluster) StopNode(worker string) {
-	if n := c.take(worker); n != nil {
-		n.stop()
-		<-n.done
-		n.Server.Die()
+	if running := c.removeWorker(worker); running != nil {
+		running.stop()
+		<-running.done
+		running.Server.Die()
 	}
 }
 
-// KillNode ends the agent and the backend server of a worker as a crash would.
+// KillNode ends the agent and the backend server of a worker without draining, as a crash would.
 func (c *Cluster) KillNode(worker string) {
-	if n := c.take(worker); n != nil {
-		n.Server.Die()
-		n.Agent.Abort()
-		<-n.done
+	if running := c.removeWorker(worker); running != nil {
+		running.Server.Die()
+		running.Agent.Abort()
+		<-running.done
 	}
 }
 
-func (c *Cluster) take(worker string) *Node {
+// removeWorker removes a worker from the running ones and returns it; nil if it does not run.
+func (c *Cluster) removeWorker(worker string) *RunningWorker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := c.nodes[worker]
-	delete(c.nodes, worker)
-	return n
+	running := c.runningWorkers[worker]
+	delete(c.runningWorkers, worker)
+	return running
 }
 
-// Ready waits until every running entry is linked to every running agent and
-// has a configuration.
+// Ready waits until every running entry has a configuration and its average share of the links that
+// the agents make at their default fan-out. It fails if ctx ends first.
 func (c *Cluster) Ready(ctx context.Context) error {
 	for {
-		if c.ready() {
+		if c.isReady() {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return eris.New("the cluster did not become ready")
+			return eris.New("cluster is not ready: an entry lacks its configuration or links to agents")
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-func (c *Cluster) ready() bool {
+// isReady reports whether the condition of Ready is met.
+func (c *Cluster) isReady() bool {
 	want := len(c.Nodes())
-	for _, m := range c.Entries() {
-		if !m.Running() {
+	for _, e := range c.Entries() {
+		if !e.Running() {
 			continue
 		}
-		if m.Entry.Linked() < min(want, want*settings.DefaultAgent().Fanout/max(1, c.running())) || !m.Entry.Configured() {
+		if e.Entry.Linked() < min(want, want*settings.DefaultAgent().Fanout/max(1, c.runningEntries())) || !e.Entry.Configured() {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *Cluster) running() int {
+// runningEntries returns the number of entries that have not ended.
+func (c *Cluster) runningEntries() int {
 	n := 0
-	for _, m := range c.Entries() {
-		if m.Running() {
+	for _, e := range c.Entries() {
+		if e.Running() {
 			n++
 		}
 	}
 	return n
 }
 
-// Stop ends everything: entries drain first.
+// Stop drains all entries, then stops all workers, then the platform.
 func (c *Cluster) Stop() {
-	var all sync.WaitGroup
-	for _, m := range c.Entries() {
-		all.Add(1)
-		go func() { defer all.Done(); m.Stop() }()
+	var stopping sync.WaitGroup
+	for _, e := range c.Entries() {
+		stopping.Add(1)
+		go func() { defer stopping.Done(); e.Stop() }()
 	}
-	all.Wait()
-	for _, n := range c.Nodes() {
-		all.Add(1)
-		go func() { defer all.Done(); c.StopNode(n.Worker) }()
+	stopping.Wait()
+	for _, w := range c.Nodes() {
+		stopping.Add(1)
+		go func() { defer stopping.Done(); c.StopNode(w.Worker) }()
 	}
-	all.Wait()
+	stopping.Wait()
 	_ = c.platform.Close()
 }
 
-// TableFaults returns the faults of a healthy table service of the shape.
+// TableFaults returns the latencies of the deployment's table service without any fault.
 func (c *Cluster) TableFaults() platformstandin.Faults {
 	return platformstandin.Faults{WriteLatency: c.Shape.WriteLatency, ReadLatency: c.Shape.WriteLatency / 5, Jitter: 0.2}
 }
--- a/lab/cluster/users.go
+++ b/lab/cluster/deployments.go
@@ -7,7 +7,7 @@
 	"peridotpick.example/common/settings"
 )
 
-// Names of the users' teams and services.
+// Teams and services of the two users.
 const (
 	AssociationTeam    = "association"
 	AssociationService = "tally"
@@ -15,19 +15,19 @@
 	LicensingService   = "renewal"
 )
 
-// idleBeforeSleep is short, since a day lasts a minute or less here.
+// idleBeforeSleep is how long a worker is idle before it sleeps. It is short because a diurnal run of
+// the load tool compresses a day to a minute or less.
 const idleBeforeSleep = 10 * time.Second
 
-// writeLatency is a synced write of the platform.
-const writeLatency = 5 * time.Millisecond
+// tableWriteLatency is the time of a synced write to the table service of the platform.
+const tableWriteLatency = 5 * time.Millisecond
 
-// Association is the deployment of the Hospitality Waste Ledger Association at
-// today's size.
+// Association returns the deployment of the Hospitality Waste Ledger Association at its current size.
 func Association() Shape {
 	return Shape{
 		Region: "nordkyst", DataCentres: []string{"hall-a", "hall-b", "hall-c", "hall-d"},
 		Service: AssociationService, Entries: 3, Agents: 11, Slots: 8, Connections: 64, Queue: 8,
-		RackSize: 3, Cores: 16, MemoryMB: 64 << 10, WakeTime: 2 * time.Second, WriteLatency: writeLatency,
+		RackSize: 3, Cores: 16, MemoryMB: 64 << 10, WakeTime: 2 * time.Second, WriteLatency: tableWriteLatency,
 		Document: config.Document{
 			Teams: []config.Team{{Name: AssociationTeam, Weight: 1}},
 			Services: []config.Service{{Name: AssociationService, Kinds: []config.Kind{
@@ -40,12 +40,12 @@
 	}
 }
 
-// Licensing is the deployment of the Dog Licensing Unit at today's size.
+// Licensing returns the deployment of the Dog Licensing Unit at its current size.
 func Licensing() Shape {
 	return Shape{
 		Region: "selangor-sel", DataCentres: []string{"bilik-a", "bilik-b", "bilik-c"},
 		Service: LicensingService, Entries: 3, Agents: 11, Slots: 8, Connections: 64, Queue: 8,
-		RackSize: 3, Cores: 32, MemoryMB: 128 << 10, WakeTime: 2 * time.Second, WriteLatency: writeLatency,
+		RackSize: 3, Cores: 32, MemoryMB: 128 << 10, WakeTime: 2 * time.Second, WriteLatency: tableWriteLatency,
 		Document: config.Document{
 			Teams: []config.Team{{Name: LicensingTeam, Weight: 1}},
 			Services: []config.Service{{Name: LicensingService, Kinds: []config.Kind{
