--- a/lab/load/faults.go
+++ b/lab/load/faults.go
@@ -13,32 +13,38 @@
 	"peridotpick.example/lab/platformstandin"
 )
 
-// FaultKind names a fault of a schedule.
+// FaultKind is the kind of a fault in a schedule.
 type FaultKind string
 
 // Kinds of faults.
 const (
-	FaultSlow      FaultKind = "slow"
-	FaultFailAll   FaultKind = "fail-all"
-	FaultKill      FaultKind = "kill"
-	FaultLeave     FaultKind = "leave"
+	// FaultSlow multiplies the run times of a worker's tasks, FaultFailAll makes all of them fail.
+	FaultSlow    FaultKind = "slow"
+	FaultFailAll FaultKind = "fail-all"
+	// FaultKill ends a worker's processes as a crash does, FaultLeave drains them.
+	FaultKill  FaultKind = "kill"
+	FaultLeave FaultKind = "leave"
+	// FaultTableDown makes the table service fail all requests, FaultTableLoss lose answers to writes.
 	FaultTableDown FaultKind = "table-down"
 	FaultTableLoss FaultKind = "table-loss"
+	// FaultKillEntry ends an entry as a crash does, FaultStopEntry drains it.
 	FaultKillEntry FaultKind = "kill-entry"
 	FaultStopEntry FaultKind = "stop-entry"
 )
 
-// Fault is one line of a schedule.
+// Fault is one fault of a schedule.
 type Fault struct {
+	// At is the time from the start of the run.
 	At   settings.Duration `json:"at"`
 	Kind FaultKind         `json:"kind"`
-	// Worker names the worker of slow, fail-all, kill and leave.
+	// Worker is the ID of the worker, for slow, fail-all, kill and leave.
 	Worker string `json:"worker,omitempty"`
-	// Entry is the number of the entry of kill-entry and stop-entry, from 0.
+	// Entry is the number of the entry from 0, for kill-entry and stop-entry.
 	Entry int `json:"entry,omitempty"`
-	// Factor is how much slower, or the probability of a loss.
+	// Factor multiplies run times for slow; it is the probability of a lost answer for table-loss.
 	Factor float64 `json:"factor,omitempty"`
-	// For ends the fault; 0 means that it lasts.
+	// For is the time after which slow, fail-all, table-down and table-loss end; 0 means that they do not
+	// end.
 	For settings.Duration `json:"for,omitempty"`
 }
 
@@ -52,21 +58,21 @@
 	return list, eris.Wrap(json.Unmarshal(data, &list), "decode faults")
 }
 
-// apply does f to the cluster, and undoes it later if it ends.
+// apply applies f to the deployment, and schedules its end if it has one.
 func (f Fault) apply(c *cluster.Cluster) {
 	switch f.Kind {
 	case FaultSlow:
-		f.backend(c, backendserver.Faults{Slow: f.Factor})
+		f.applyToBackend(c, backendserver.Faults{Slow: f.Factor})
 	case FaultFailAll:
-		f.backend(c, backendserver.Faults{FailAll: true})
+		f.applyToBackend(c, backendserver.Faults{FailAll: true})
 	case FaultKill:
 		c.KillNode(f.Worker)
 	case FaultLeave:
 		go c.StopNode(f.Worker)
 	case FaultTableDown:
-		f.table(c, func(t *platformstandin.Faults) { t.Down = true })
+		f.applyToTable(c, func(t *platformstandin.Faults) { t.Down = true })
 	case FaultTableLoss:
-		f.table(c, func(t *platformstandin.Faults) { t.LoseAnswers = f.Factor })
+		f.applyToTable(c, func(t *platformstandin.Faults) { t.LoseAnswers = f.Factor })
 	case FaultKillEntry:
 		c.Entries()[f.Entry].Kill()
 	case FaultStopEntry:
@@ -74,7 +80,9 @@
 	}
 }
 
-func (f Fault) backend(c *cluster.Cluster, faults backendserver.Faults) {
+// applyToBackend sets the faults of a worker's backend server. It does nothing if the worker does not
+// run.
+func (f Fault) applyToBackend(c *cluster.Cluster, faults backendserver.Faults) {
 	n := c.Node(f.Worker)
 	if n == nil {
 		return
@@ -85,12 +93,13 @@
 	}
 }
 
-func (f Fault) table(c *cluster.Cluster, change func(*platformstandin.Faults)) {
-	healthy := c.TableFaults()
-	broken := healthy
-	change(&broken)
-	c.Table.SetFaults(broken)
+// applyToTable changes the faults of the table service.
+func (f Fault) applyToTable(c *cluster.Cluster, change func(*platformstandin.Faults)) {
+	noFaults := c.TableFaults()
+	faulty := noFaults
+	change(&faulty)
+	c.Table.SetFaults(faulty)
 	if f.For > 0 {
-		time.AfterFunc(f.For.Std(), func() { c.Table.SetFaults(healthy) })
+		time.AfterFunc(f.For.Std(), func() { c.Table.SetFaults(noFaults) })
 	}
 }
--- a/lab/load/plot.go
+++ b/lab/load/plot.go
@@ -21,7 +21,7 @@
 	plotHeight = 9 * vg.Centimeter
 )
 
-// Files of a report.
+// Files of a report and their permissions.
 const (
 	reportFile = "report.json"
 	pageFile   = "index.html"
@@ -29,7 +29,8 @@
 	dirMode    = 0o755
 )
 
-// Save writes report.json, the plots and a page that shows them into dir.
+// Save writes report.json, the plots and a page that shows them into a folder, which it creates if
+// necessary. report.json has a list if there are several reports.
 func Save(dir string, reports []*Report) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return eris.Wrap(err, "create report folder")
@@ -65,10 +66,11 @@
 	return savePage(filepath.Join(dir, pageFile), files, reports)
 }
 
-func savePlot(path, title, y string, draw func(*plot.Plot, []*Report) error, reports []*Report) error {
+// savePlot draws a plot and writes it to a file, in the format of the file's extension.
+func savePlot(path, title, yLabel string, draw func(*plot.Plot, []*Report) error, reports []*Report) error {
 	p := plot.New()
 	p.Title.Text = title
-	p.Y.Label.Text = y
+	p.Y.Label.Text = yLabel
 	p.Y.Min = 0
 	p.Legend.Top = true
 	if err := draw(p, reports); err != nil {
@@ -77,7 +79,8 @@
 	return eris.Wrap(p.Save(plotWidth, plotHeight, path), title)
 }
 
-func line(p *plot.Plot, name string, index int, values []float64) error {
+// addLine adds a line to a plot, with a value for each second; index selects its color.
+func addLine(p *plot.Plot, name string, index int, values []float64) error {
 	points := make(plotter.XYs, len(values))
 	for i, v := range values {
 		points[i] = plotter.XY{X: float64(i), Y: v}
@@ -92,8 +95,8 @@
 	return nil
 }
 
-// bars draws one group of bars for each report over the same names.
-func bars(p *plot.Plot, reports []*Report, names []string, value func(*Report, string) float64) error {
+// addBars adds one bar for each name and report to a plot, in one color for each report.
+func addBars(p *plot.Plot, reports []*Report, names []string, value func(*Report, string) float64) error {
 	width := vg.Points(40 / float64(max(1, len(reports))))
 	for i, r := range reports {
 		values := make(plotter.Values, len(names))
@@ -120,7 +123,7 @@
 		for k, q := range r.RatioByTime {
 			values[k] = q.P99
 		}
-		if err := line(p, fmt.Sprintf("%s, seed %d", r.Policy, r.Seed), i, values); err != nil {
+		if err := addLine(p, fmt.Sprintf("%s, seed %d", r.Policy, r.Seed), i, values); err != nil {
 			return err
 		}
 	}
@@ -128,31 +131,32 @@
 }
 
 func drawClasses(p *plot.Plot, reports []*Report) error {
-	return bars(p, reports, sortedClasses(reports[0]), func(r *Report, class string) float64 { return r.ResponseRatio.Class[class].P99 })
+	return addBars(p, reports, sortedClasses(reports[0]), func(r *Report, class string) float64 { return r.ResponseRatio.Class[class].P99 })
 }
 
 func drawLoad(p *plot.Plot, reports []*Report) error {
-	return bars(p, reports, keys(reports[0].BusyByWorker), func(r *Report, worker string) float64 { return r.BusyByWorker[worker] })
+	return addBars(p, reports, sortedKeys(reports[0].BusyByWorker), func(r *Report, worker string) float64 { return r.BusyByWorker[worker] })
 }
 
 func drawWasted(p *plot.Plot, reports []*Report) error {
-	return bars(p, reports, keys(reports[0].WastedByCause), func(r *Report, cause string) float64 { return r.WastedByCause[cause] })
+	return addBars(p, reports, sortedKeys(reports[0].WastedByCause), func(r *Report, cause string) float64 { return r.WastedByCause[cause] })
 }
 
 func drawAwake(p *plot.Plot, reports []*Report) error {
 	p.X.Label.Text = "seconds"
 	for i, r := range reports {
-		if err := line(p, "awake, "+r.Policy, 2*i, r.AwakeByTime); err != nil {
+		if err := addLine(p, "awake, "+r.Policy, 2*i, r.AwakeByTime); err != nil {
 			return err
 		}
-		if err := line(p, "ideal, "+r.Policy, 2*i+1, r.IdealAwakeByTime); err != nil {
+		if err := addLine(p, "ideal, "+r.Policy, 2*i+1, r.IdealAwakeByTime); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func keys(m map[string]float64) []string {
+// sortedKeys returns the keys of a map in alphabetical order.
+func sortedKeys(m map[string]float64) []string {
 	names := make([]string, 0, len(m))
 	for name := range m {
 		names = append(names, name)
@@ -172,6 +176,7 @@
 {{end}}</body></html>
 `))
 
+// savePage writes an HTML page with a table of the reports and the plots.
 func savePage(path string, files []string, reports []*Report) error {
 	out, err := os.Create(path)
 	if err != nil {
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -1,10 +1,9 @@
-// Package load drives a deployment with seeded open-loop arrivals and faults,
-// and reports response times against the ideal, wasted messages, and whether
-// the promises held.
+// Package load drives a deployment with seeded open-loop arrivals and faults, and reports response
+// times relative to the ideal, wasted messages, and violations of the product's guarantees.
 //
-// A response time counts from the planned time of arrival, not from when the
-// generator got round to sending, so that a stall is not hidden (coordinated
-// omission). The ideal of a request is the time of its work on idle hardware.
+// A response time counts from the planned time of arrival, not from the time of sending, so that a
+// stall of the generator is not hidden (coordinated omission). The ideal response time of a request is
+// the time of its work on idle hardware; a response ratio is the response time divided by it.
 package load
 
 import (
@@ -23,31 +22,37 @@
 	"peridotpick.example/lab/cluster"
 )
 
-// Options of one run.
+// Options are the options of one run.
 type Options struct {
-	Mix      Mix
-	Shape    cluster.Shape
-	Plan     []Arrival
-	Faults   []Fault
-	Policy   rank.Policy
+	// Mix has the kinds of requests that Plan and Flood refer to.
+	Mix Mix
+	// Shape describes the deployment; its Policy and Seed are replaced by those below.
+	Shape cluster.Shape
+	// Plan are the requests to send.
+	Plan   []Arrival
+	Faults []Fault
+	// Policy is the policy by which entries choose agents.
+	Policy rank.Policy
+	// Duration is the time that the plan covers.
 	Duration time.Duration
-	Seed     uint64
-	// Flood adds a second team that sends at FloodLoad of capacity; see Flooder.
+	// Seed seeds the deployment, and is in the report.
+	Seed uint64
+	// Flood are the requests of a second team, FloodTeam, which sends more than its share; may be empty.
 	Flood []Arrival
-	// Deadline of each request.
+	// Deadline is the time that each request has from its sending to its answer.
 	Deadline time.Duration
 	// Progress is called with the number of requests sent; may be nil.
 	Progress func(sent int)
 }
 
-// FloodTeam is the team that floods.
+// FloodTeam is the name of the team that sends the requests of Options.Flood.
 const FloodTeam = "flood"
 
-// readyWithin bounds the start of the deployment.
-const readyWithin = 30 * time.Second
+// readyTimeout bounds the time until the started deployment is ready.
+const readyTimeout = 30 * time.Second
 
-// Run runs the load and returns its report. A canceled ctx ends the arrivals
-// early; the report then covers what was sent.
+// Run starts a deployment, sends the plan to it, and returns the report. If ctx is canceled, no more
+// requests are sent, and the report covers those that were.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	o.Shape.Policy = o.Policy
 	o.Shape.Seed = o.Seed
@@ -56,9 +61,9 @@
 		return nil, err
 	}
 	defer c.Stop()
-	ready, cancel := context.WithTimeout(ctx, readyWithin)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := c.Ready(ready); err != nil {
+	if err := c.Ready(readyCtx); err != nil {
 		return nil, err
 	}
 	r := newRun(o, c)
@@ -71,29 +76,41 @@
 	options Options
 	cluster *cluster.Cluster
 	clients []*caller.Client
-	// healthy tells which entries the balancer sends to.
-	healthy []atomic.Bool
-	began   time.Time
+	// takesRequests tells of each entry whether its last health check succeeded, so that the balancer
+	// sends requests to it.
+	takesRequests []atomic.Bool
+	// startedAt is the time that planned times of arrival count from.
+	startedAt time.Time
 
 	mu      sync.Mutex
 	results []result
-	awake   []float64
+	// awakeBySecond are the numbers of running workers, sampled once a second.
+	awakeBySecond []float64
 }
 
-// result is the end of one request.
+// result is how one request ended.
 type result struct {
-	class    string
-	at       time.Duration
-	ratio    float64
-	kind     errkind.Kind
-	tasks    int
-	ran      string
-	noAnswer bool
-	partial  bool
-	falseNot bool
-	flood    bool
-	// once is set if the tasks may not be repeated.
-	once bool
+	class string
+	// plannedAt is the planned time of arrival since the start of the run.
+	plannedAt time.Duration
+	// ratio is the response ratio.
+	ratio     float64
+	errorKind errkind.Kind
+	// tasks is the number of tasks.
+	tasks int
+	// ran is what a failure's answer says about the execution, as errkind.Ran is written; empty for a
+	// success and without an answer.
+	ran string
+	// unanswered is true if no answer was received, such as for a closed connection.
+	unanswered bool
+	// partial is true for a success that lacks results or has those of other payloads.
+	partial bool
+	// falseNotRun is true for an answer "not-run" although a task of the request was started.
+	falseNotRun bool
+	// fromFlood is true for a request of FloodTeam.
+	fromFlood bool
+	// atMostOnce is true if a task of the request must not be started twice.
+	atMostOnce bool
 }
 
 func newRun(o Options, c *cluster.Cluster) *run {
@@ -101,34 +118,36 @@
 	for _, m := range c.Entries() {
 		r.clients = append(r.clients, caller.New(m.Entry.Address(), o.Mix.Team))
 	}
-	r.healthy = make([]atomic.Bool, len(r.clients))
-	for i := range r.healthy {
-		r.healthy[i].Store(true)
+	r.takesRequests = make([]atomic.Bool, len(r.clients))
+	for i := range r.takesRequests {
+		r.takesRequests[i].Store(true)
 	}
 	return r
 }
 
-// drive sends the plan, applies the faults, and waits for all answers.
+// drive sends the plan, applies the faults at their times, and waits for all answers.
 func (r *run) drive(ctx context.Context) {
-	r.began = time.Now()
-	watch, stop := context.WithCancel(ctx)
+	r.startedAt = time.Now()
+	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go r.watchAwake(watch)
+	go r.sampleAwake(watchCtx)
 	for i := range r.clients {
-		go r.watchHealth(watch, i)
+		go r.pollHealth(watchCtx, i)
 	}
 	for _, f := range r.options.Faults {
 		timer := time.AfterFunc(f.At.Std(), func() { f.apply(r.cluster) })
 		defer timer.Stop()
 	}
-	var open sync.WaitGroup
-	open.Add(1)
-	go func() { defer open.Done(); r.send(ctx, r.options.Flood, true, &open) }()
-	r.send(ctx, r.options.Plan, false, &open)
-	open.Wait()
+	var openRequests sync.WaitGroup
+	openRequests.Add(1)
+	go func() { defer openRequests.Done(); r.send(ctx, r.options.Flood, true, &openRequests) }()
+	r.send(ctx, r.options.Plan, false, &openRequests)
+	openRequests.Wait()
 }
 
-func (r *run) send(ctx context.Context, plan []Arrival, flood bool, open *sync.WaitGroup) {
+// send sends the requests of a plan at their times, each in a goroutine that is counted in
+// openRequests. It returns after the last one is sent or when ctx ends.
+func (r *run) send(ctx context.Context, arrivals []Arrival, flood bool, openRequests *sync.WaitGroup) {
 	clients := r.clients
 	if flood {
 		clients = nil
@@ -136,17 +155,17 @@
 			clients = append(clients, caller.New(m.Entry.Address(), FloodTeam))
 		}
 	}
-	for i := range plan {
-		a := &plan[i]
+	for i := range arrivals {
+		a := &arrivals[i]
 		select {
-		case <-time.After(time.Until(r.began.Add(a.At))):
+		case <-time.After(time.Until(r.startedAt.Add(a.At))):
 		case <-ctx.Done():
 			return
 		}
-		open.Add(1)
+		openRequests.Add(1)
 		go func() {
-			defer open.Done()
-			r.request(a, clients, i, flood)
+			defer openRequests.Done()
+			r.sendRequest(a, clients, i, flood)
 		}()
 		if r.options.Progress != nil && !flood {
 			r.options.Progress(i + 1)
@@ -154,44 +173,48 @@
 	}
 }
 
-// request sends one request through the balancer and records its end.
-func (r *run) request(a *Arrival, clients []*caller.Client, index int, flood bool) {
+// sendRequest sends one request as a load balancer does and records how it ended: to the entries in
+// turn, without those that fail their health check, and to the next one if an entry refuses connections
+// or is draining. index is the number of the request in its plan.
+func (r *run) sendRequest(a *Arrival, clients []*caller.Client, index int, flood bool) {
 	kind := r.options.Mix.Kinds[a.Kind]
 	payloads := make([]json.RawMessage, len(a.RunMs))
 	for i, ms := range a.RunMs {
 		payloads[i] = json.RawMessage(fmt.Sprintf(`{"runMs":%g,"id":%q}`, ms, fmt.Sprintf("%s/%d", a.Key, i)))
 	}
-	var raw []json.RawMessage
+	var results []json.RawMessage
 	var err error
-	for try := range len(clients) {
-		// The balancer sends a request elsewhere if an instance takes none.
-		at := (index + try) % len(clients)
-		if !r.healthy[at].Load() && try < len(clients)-1 {
+	for attempt := range len(clients) {
+		// The last entry in turn is tried even if its health check fails.
+		at := (index + attempt) % len(clients)
+		if !r.takesRequests[at].Load() && attempt < len(clients)-1 {
 			continue
 		}
-		raw, err = r.exchange(clients[at], kind, a, payloads)
-		if !tryElsewhere(err) {
+		results, err = r.sendTo(clients[at], kind, a, payloads)
+		if !shouldTryNextEntry(err) {
 			break
 		}
 	}
-	r.record(kind, a, raw, err, payloads, flood)
+	r.recordResult(kind, a, results, err, payloads, flood)
 }
 
-// healthEvery is how often the balancer asks an entry for its health.
-const healthEvery = 250 * time.Millisecond
+// healthInterval is the period of the balancer's health checks of an entry.
+const healthInterval = 250 * time.Millisecond
 
-// watchHealth is the balancer's health check of one entry.
-func (r *run) watchHealth(ctx context.Context, i int) {
+// pollHealth checks the health of one entry periodically until ctx ends, as a load balancer does.
+func (r *run) pollHealth(ctx context.Context, index int) {
 	for ctx.Err() == nil {
-		r.healthy[i].Store(r.clients[i].Healthy())
+		r.takesRequests[index].Store(r.clients[index].Healthy())
 		select {
-		case <-time.After(healthEvery):
+		case <-time.After(healthInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func tryElsewhere(err error) bool {
+// shouldTryNextEntry reports whether a request that failed with err may be sent to another entry
+// because the first one certainly did not take it.
+func shouldTryNextEntry(err error) bool {
 	var failure *caller.Failure
 	if errors.As(err, &failure) {
 		return failure.Kind() == errkind.Draining
@@ -199,7 +222,9 @@
 	return err != nil && caller.Refused(err)
 }
 
-func (r *run) exchange(client *caller.Client, kind Kind, a *Arrival, payloads []json.RawMessage) ([]json.RawMessage, error) {
+// sendTo sends a request to one entry, as a call if its kind has single tasks and as a job otherwise,
+// and returns the results of its tasks.
+func (r *run) sendTo(client *caller.Client, kind Kind, a *Arrival, payloads []json.RawMessage) ([]json.RawMessage, error) {
 	key := ""
 	if kind.Keyed {
 		key = a.Key
@@ -215,28 +240,30 @@
 	return client.Submit(key, job)
 }
 
-func (r *run) record(kind Kind, a *Arrival, raw []json.RawMessage, err error, payloads []json.RawMessage, flood bool) {
-	took := time.Since(r.began) - a.At
-	res := result{class: kind.Class, at: a.At, tasks: len(a.RunMs), flood: flood, once: kind.Once}
-	res.ratio = took.Seconds() * 1000 / idealOf(a.RunMs, r.options.Shape.Agents*r.options.Shape.Slots)
+// recordResult records how a request ended; err is nil if it was answered with results.
+func (r *run) recordResult(kind Kind, a *Arrival, results []json.RawMessage, err error, payloads []json.RawMessage, flood bool) {
+	responseTime := time.Since(r.startedAt) - a.At
+	res := result{class: kind.Class, plannedAt: a.At, tasks: len(a.RunMs), fromFlood: flood, atMostOnce: kind.AtMostOnce}
+	res.ratio = responseTime.Seconds() * 1000 / idealResponseMs(a.RunMs, r.options.Shape.Agents*r.options.Shape.Slots)
 	var failure *caller.Failure
 	switch {
 	case err == nil:
-		res.partial = !whole(raw, payloads)
+		res.partial = !resultsMatch(results, payloads)
 	case errors.As(err, &failure):
-		res.kind = failure.Kind()
+		res.errorKind = failure.Kind()
 		res.ran = failure.Ran
-		res.falseNot = failure.Ran == errkind.NotRun.String() && r.started(a)
+		res.falseNotRun = failure.Ran == errkind.NotRun.String() && r.hasStarted(a)
 	default:
-		res.kind = errkind.Internal
-		res.noAnswer = true
+		res.errorKind = errkind.Internal
+		res.unanswered = true
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results = append(r.results, res)
 }
 
-func (r *run) started(a *Arrival) bool {
+// hasStarted reports whether a backend server has started any task of a request.
+func (r *run) hasStarted(a *Arrival) bool {
 	for i := range a.RunMs {
 		if r.cluster.Journal.StartsOf(fmt.Sprintf("%s/%d", a.Key, i)) > 0 {
 			return true
@@ -245,25 +272,25 @@
 	return false
 }
 
-// whole reports whether each result belongs to its payload.
-func whole(raw, payloads []json.RawMessage) bool {
-	if len(raw) != len(payloads) {
+// resultsMatch reports whether there is one result for each payload, and it belongs to that payload.
+func resultsMatch(results, payloads []json.RawMessage) bool {
+	if len(results) != len(payloads) {
 		return false
 	}
-	for i := range raw {
-		var got backendserver.Result
-		if json.Unmarshal(raw[i], &got) != nil || got.Sum != backendserver.Checksum(payloads[i]) {
+	for i := range results {
+		var decoded backendserver.Result
+		if json.Unmarshal(results[i], &decoded) != nil || decoded.Sum != backendserver.Checksum(payloads[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-// watchAwake samples the number of awake workers once a second.
-func (r *run) watchAwake(ctx context.Context) {
+// sampleAwake records the number of running workers once a second until ctx ends.
+func (r *run) sampleAwake(ctx context.Context) {
 	for {
 		r.mu.Lock()
-		r.awake = append(r.awake, float64(len(r.cluster.Nodes())))
+		r.awakeBySecond = append(r.awakeBySecond, float64(len(r.cluster.Nodes())))
 		r.mu.Unlock()
 		select {
 		case <-time.After(time.Second):
