--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -1,11 +1,10 @@
-// Package capacity measures how the cost of control grows with the number of
-// agents, entries, teams, jobs and configuration changes, over real sockets on
-// loopback with the stand-ins, and fits a line to each.
+// Package capacity measures how the cost of control (CPU, memory, bytes, requests to the table service)
+// grows with the number of agents, entries, teams, jobs and configuration changes, over loopback
+// connections and with the fake platform and backend servers, and fits a line to each measure.
 //
-// All processes of a deployment are goroutines of one process here, so a slope
-// is the cost of one more agent (say) to all parts together, its links and the
-// stand-ins included. It is an upper bound for any one role; bench/processes
-// measures real processes one by one.
+// All processes of a deployment are goroutines of one process here, so a slope is the cost of, for
+// example, one more agent to all parts together, its links and the fakes included. It is an upper bound
+// for any one role; bench/processes measures separate processes.
 package capacity
 
 import (
@@ -33,64 +32,70 @@
 	"peridotpick.example/service/confwatch"
 )
 
-// Sample is what one point cost.
+// Sample is the cost measured at one point of a sweep.
 type Sample struct {
-	// X is the swept number.
+	// X is the number that the sweep varies.
 	X float64 `json:"x"`
-	// CPU is in percent of a core.
+	// CPU is the CPU time in percent of a core.
 	CPU float64 `json:"cpuPercent"`
-	// MemoryMB is heap and stacks in use.
+	// MemoryMB is the memory of heap and stacks in use after a garbage collection, in MiB.
 	MemoryMB float64 `json:"memoryMB"`
-	// BytesPerSecond counts bytes read and written by system calls, halved.
+	// BytesPerSecond counts bytes read and written by system calls, halved because each byte on a
+	// connection is written and read by the same process.
 	BytesPerSecond float64 `json:"bytesPerSecond"`
 	// WritesPerSecond and ReadsPerSecond are requests to the table service.
 	WritesPerSecond float64 `json:"writesPerSecond"`
 	ReadsPerSecond  float64 `json:"readsPerSecond"`
-	// Extra is the measure of the sweep itself, such as seconds to in force.
+	// Extra is a measure that only this sweep has; see Sweep.ExtraName.
 	Extra float64 `json:"extra,omitempty"`
 }
 
-// Sweep is one series of points.
+// Sweep is a series of measurements that differ in one number.
 type Sweep struct {
-	Name   string
-	Unit   string
+	Name string
+	// Unit describes one unit of the varied number.
+	Unit string
+	// Points are the values of the varied number.
 	Points []float64
-	// ExtraName names Sample.Extra; empty if there is none.
+	// ExtraName is the name and unit of Sample.Extra; empty if the sweep has no such measure.
 	ExtraName string
-	// shape returns the deployment of a point, load the load put on it, which
-	// runs until ctx ends and returns Extra.
-	shape func(x float64) cluster.Shape
-	load  func(ctx context.Context, c *cluster.Cluster, x float64) (float64, error)
+	// spec returns the deployment of a point. load puts the load of a point on it until ctx ends, and
+	// returns Sample.Extra.
+	spec func(x float64) cluster.Shape
+	load func(ctx context.Context, c *cluster.Cluster, x float64) (float64, error)
 }
 
-// Times of one point.
+// Times of one measurement.
 const (
+	// settleTime is the time under load before the measurement, sampleTime its length.
 	settleTime = 4 * time.Second
 	sampleTime = 6 * time.Second
-	readyTime  = 60 * time.Second
-	// pollEvery is how often a configuration change is looked for.
-	pollEvery = 10 * time.Millisecond
+	// readyTimeout bounds the time until the started deployment is ready.
+	readyTimeout = 60 * time.Second
+	// pollInterval is the period of checks whether a configuration change is in force.
+	pollInterval = 10 * time.Millisecond
 )
 
 // Sweeps returns all sweeps.
 func Sweeps() []Sweep {
 	return []Sweep{
-		{Name: "agents", Unit: "agent at rest, 3 entries", Points: []float64{20, 40, 80, 160}, shape: withAgents, load: rest},
-		{Name: "entries", Unit: "entry at rest, 40 agents", Points: []float64{2, 4, 6, 8}, shape: withEntries, load: rest},
-		{Name: "teams", Unit: "team at rest, 3 entries, 11 agents", Points: []float64{10, 43, 86, 172}, shape: withTeams, load: rest},
-		{Name: "jobs", Unit: "job a second of 140 empty tasks", Points: []float64{10, 20, 40, 80}, shape: today, load: jobs, ExtraName: "p99 ms"},
-		{Name: "changes", Unit: "configuration change a second", Points: []float64{0.2, 0.5, 1, 2}, shape: today, load: changes, ExtraName: "slowest s"},
+		{Name: "agents", Unit: "agent at rest, 3 entries", Points: []float64{20, 40, 80, 160}, spec: withAgents, load: idle},
+		{Name: "entries", Unit: "entry at rest, 40 agents", Points: []float64{2, 4, 6, 8}, spec: withEntries, load: idle},
+		{Name: "teams", Unit: "team at rest, 3 entries, 11 agents", Points: []float64{10, 43, 86, 172}, spec: withTeams, load: idle},
+		{Name: "jobs", Unit: "job a second of 140 empty tasks", Points: []float64{10, 20, 40, 80}, spec: currentSize, load: submitJobs, ExtraName: "p99 ms"},
+		{Name: "changes", Unit: "configuration change a second", Points: []float64{0.2, 0.5, 1, 2}, spec: currentSize, load: changeConfig, ExtraName: "slowest s"},
 	}
 }
 
-func today(float64) cluster.Shape {
+// currentSize returns the Association's deployment at its current size with all workers awake.
+func currentSize(float64) cluster.Shape {
 	s := cluster.Association()
 	s.Document.Policy.MinAwake = s.Agents
 	return s
 }
 
 func withAgents(x float64) cluster.Shape {
-	s := today(x)
+	s := currentSize(x)
 	s.Agents = int(x)
 	s.Document.Policy.MinAwake = s.Agents
 	return s
@@ -103,7 +108,7 @@
 }
 
 func withTeams(x float64) cluster.Shape {
-	s := today(x)
+	s := currentSize(x)
 	for i := range int(x) {
 		s.Document.Teams = append(s.Document.Teams, config.Team{
 			Name: fmt.Sprintf("team-%d", i), Weight: 1, Quota: 1000,
@@ -113,17 +118,18 @@
 	return s
 }
 
-// rest puts no load on the deployment.
-func rest(ctx context.Context, _ *cluster.Cluster, _ float64) (float64, error) {
+// idle puts no load on the deployment.
+func idle(ctx context.Context, _ *cluster.Cluster, _ float64) (float64, error) {
 	<-ctx.Done()
 	return 0, nil
 }
 
-// tasksPerJob is that of the largest job.
+// tasksPerJob is the number of tasks of the largest job.
 const tasksPerJob = 140
 
-// jobs submits x jobs a second in turn to all entries.
-func jobs(ctx context.Context, c *cluster.Cluster, x float64) (float64, error) {
+// submitJobs submits jobs of empty tasks, to the entries in turn, and returns the 99th percentile of the
+// response times in milliseconds. The error is that of the last failed job.
+func submitJobs(ctx context.Context, c *cluster.Cluster, jobsPerSecond float64) (float64, error) {
 	var body caller.Job
 	body.Deadline = "30s"
 	for range tasksPerJob {
@@ -133,34 +139,35 @@
 	for _, m := range c.Entries() {
 		clients = append(clients, caller.New(m.Entry.Address(), cluster.AssociationTeam))
 	}
-	tick := time.NewTicker(time.Duration(float64(time.Second) / x))
-	defer tick.Stop()
-	var open sync.WaitGroup
+	ticker := time.NewTicker(time.Duration(float64(time.Second) / jobsPerSecond))
+	defer ticker.Stop()
+	var openJobs sync.WaitGroup
 	var mu sync.Mutex
-	var took []float64
-	var failed error
+	var responseTimesMs []float64
+	var lastErr error
 	for i := 0; ctx.Err() == nil; i++ {
-		open.Add(1)
+		openJobs.Add(1)
 		go func() {
-			defer open.Done()
-			began := time.Now()
-			_, err := clients[i%len(clients)].Submit(fmt.Sprintf("sweep-%g-%d", x, i), body)
+			defer openJobs.Done()
+			sentAt := time.Now()
+			_, err := clients[i%len(clients)].Submit(fmt.Sprintf("sweep-%g-%d", jobsPerSecond, i), body)
 			mu.Lock()
 			defer mu.Unlock()
-			took = append(took, time.Since(began).Seconds()*1000)
+			responseTimesMs = append(responseTimesMs, time.Since(sentAt).Seconds()*1000)
 			if err != nil {
-				failed = err
+				lastErr = err
 			}
 		}()
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 		}
 	}
-	open.Wait()
-	return quantile(took, 0.99), failed
+	openJobs.Wait()
+	return quantile(responseTimesMs, 0.99), lastErr
 }
 
+// quantile returns the q-quantile of values, 0 if there are none.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -170,9 +177,9 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// changes puts x configurations a second and returns the longest time until
-// one was in force on every entry.
-func changes(ctx context.Context, c *cluster.Cluster, x float64) (float64, error) {
+// changeConfig stores new configuration versions at a rate, or more slowly if they are not in force by
+// then, and returns the longest time from a change until it was in force on every entry, in seconds.
+func changeConfig(ctx context.Context, c *cluster.Cluster, changesPerSecond float64) (float64, error) {
 	store := confwatch.NewStore(c.Table)
 	slowest := 0.0
 	document, err := json.Marshal(c.Shape.Document)
@@ -180,27 +187,29 @@
 		return 0, eris.Wrap(err, "encode configuration")
 	}
 	for base := uint64(1); ctx.Err() == nil; base++ {
-		put := time.Now()
-		_, err := store.Put(ctx, base, "sweep", put, document)
+		putAt := time.Now()
+		_, err := store.Put(ctx, base, "sweep", putAt, document)
 		if err != nil {
-			return slowest, ignoreEnd(ctx, err)
+			return slowest, ignoreErrorAfterEnd(ctx, err)
 		}
 		for ctx.Err() == nil && !inForce(c, base+1) {
-			time.Sleep(pollEvery)
+			time.Sleep(pollInterval)
 		}
-		slowest = max(slowest, time.Since(put).Seconds())
-		time.Sleep(time.Until(put.Add(time.Duration(float64(time.Second) / x))))
+		slowest = max(slowest, time.Since(putAt).Seconds())
+		time.Sleep(time.Until(putAt.Add(time.Duration(float64(time.Second) / changesPerSecond))))
 	}
 	return slowest, nil
 }
 
-func ignoreEnd(ctx context.Context, err error) error {
+// ignoreErrorAfterEnd returns nil if ctx has ended and err has an error kind, else err.
+func ignoreErrorAfterEnd(ctx context.Context, err error) error {
 	if ctx.Err() != nil && errkind.From(err).Kind != errkind.OK {
 		return nil
 	}
 	return err
 }
 
+// inForce reports whether every entry has a configuration version or a later one.
 func inForce(c *cluster.Cluster, version uint64) bool {
 	for _, m := range c.Entries() {
 		if m.Entry.ConfigVersion() < version {
@@ -210,11 +219,11 @@
 	return true
 }
 
-// Run measures all points of a sweep.
+// Run measures all points of a sweep, one after the other. On an error it returns the samples so far.
 func (s Sweep) Run(ctx context.Context) ([]Sample, error) {
 	var samples []Sample
 	for _, x := range s.Points {
-		sample, err := s.point(ctx, x)
+		sample, err := s.measure(ctx, x)
 		if err != nil {
 			return samples, eris.Wrapf(err, "%s at %g", s.Name, x)
 		}
@@ -223,64 +232,67 @@
 	return samples, nil
 }
 
-func (s Sweep) point(ctx context.Context, x float64) (Sample, error) {
-	shape := s.shape(x)
-	shape.Seed = 1
-	c, err := cluster.Start(shape)
+// measure starts the deployment of a point, puts the load on it, and measures its cost.
+func (s Sweep) measure(ctx context.Context, x float64) (Sample, error) {
+	spec := s.spec(x)
+	spec.Seed = 1
+	c, err := cluster.Start(spec)
 	if err != nil {
 		return Sample{}, err
 	}
 	defer c.Stop()
-	ready, cancelReady := context.WithTimeout(ctx, readyTime)
+	readyCtx, cancelReady := context.WithTimeout(ctx, readyTimeout)
 	defer cancelReady()
-	if err := c.Ready(ready); err != nil {
+	if err := c.Ready(readyCtx); err != nil {
 		return Sample{}, err
 	}
-	loading, stop := context.WithTimeout(ctx, settleTime+sampleTime)
-	defer stop()
+	loadCtx, stopLoad := context.WithTimeout(ctx, settleTime+sampleTime)
+	defer stopLoad()
 	type end struct {
 		extra float64
 		err   error
 	}
 	ended := make(chan end, 1)
 	go func() {
-		extra, err := s.load(loading, c, x)
+		extra, err := s.load(loadCtx, c, x)
 		ended <- end{extra, err}
 	}()
 	time.Sleep(settleTime)
 	before := readUsage(c)
 	time.Sleep(sampleTime)
-	sample := before.until(readUsage(c))
+	sample := before.ratesUntil(readUsage(c))
 	sample.X = x
-	stop()
-	e := <-ended
-	sample.Extra = e.extra
-	return sample, e.err
+	stopLoad()
+	outcome := <-ended
+	sample.Extra = outcome.extra
+	return sample, outcome.err
 }
 
-// usage is the consumption of the process so far.
+// usage is what the process has used since its start, and the memory that it has in use.
 type usage struct {
 	at            time.Time
 	cpu           time.Duration
-	bytes         uint64
+	ioBytes       uint64
 	writes, reads uint64
-	memory        float64
+	memoryMB      float64
 }
 
+// readUsage reads the usage of the process and of the table service, after a garbage collection.
 func readUsage(c *cluster.Cluster) usage {
-	var r syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r) // cannot fail for the own process
+	var rusage syscall.Rusage
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &rusage) // cannot fail for the own process
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
 	counts := c.Table.Counts()
 	return usage{
-		at: time.Now(), cpu: time.Duration(r.Utime.Nano() + r.Stime.Nano()), bytes: ioBytes(),
-		writes: counts.Writes, reads: counts.Reads, memory: float64(m.HeapInuse+m.StackInuse) / (1 << 20),
+		at: time.Now(), cpu: time.Duration(rusage.Utime.Nano() + rusage.Stime.Nano()), ioBytes: ioBytes(),
+		writes: counts.Writes, reads: counts.Reads, memoryMB: float64(memory.HeapInuse+memory.StackInuse) / (1 << 20),
 	}
 }
 
-// ioBytes returns the bytes that the process has read and written.
+// ioBytes returns the bytes that the process has read and written by system calls; 0 if /proc has no
+// such counters.
 func ioBytes() uint64 {
 	data, err := os.ReadFile("/proc/self/io")
 	if err != nil {
@@ -297,25 +309,25 @@
 	return total
 }
 
-func (u usage) until(v usage) Sample {
-	seconds := v.at.Sub(u.at).Seconds()
+// ratesUntil returns the rates between two usages.
+func (before usage) ratesUntil(after usage) Sample {
+	seconds := after.at.Sub(before.at).Seconds()
 	return Sample{
-		CPU: (v.cpu - u.cpu).Seconds() / seconds * 100, MemoryMB: v.memory,
-		BytesPerSecond:  float64(v.bytes-u.bytes) / 2 / seconds,
-		WritesPerSecond: float64(v.writes-u.writes) / seconds, ReadsPerSecond: float64(v.reads-u.reads) / seconds,
+		CPU: (after.cpu - before.cpu).Seconds() / seconds * 100, MemoryMB: after.memoryMB,
+		BytesPerSecond:  float64(after.ioBytes-before.ioBytes) / 2 / seconds,
+		WritesPerSecond: float64(after.writes-before.writes) / seconds, ReadsPerSecond: float64(after.reads-before.reads) / seconds,
 	}
 }
 
-// Fit is a line through the samples of one measure.
+// Fit is a line fitted to the samples of one measure: Intercept + Slope * X.
 type Fit struct {
-	Base, Slope float64
-	// Error is the largest distance of a sample from the line, as a part of the
-	// largest sample.
-	Error float64
+	Intercept, Slope float64
+	// MaxError is the largest deviation of a sample from the line, as a part of the largest sample.
+	MaxError float64
 }
 
-// FitOf fits a line to a measure.
-func FitOf(samples []Sample, measure func(Sample) float64) Fit {
+// FitLine fits a line to a measure by least squares.
+func FitLine(samples []Sample, measure func(Sample) float64) Fit {
 	var xs, ys []float64
 	largest := 0.0
 	for _, s := range samples {
@@ -323,18 +335,18 @@
 		ys = append(ys, measure(s))
 		largest = math.Max(largest, math.Abs(measure(s)))
 	}
-	base, slope := stat.LinearRegression(xs, ys, nil, false)
-	worst := 0.0
+	intercept, slope := stat.LinearRegression(xs, ys, nil, false)
+	maxError := 0.0
 	for i := range xs {
-		worst = math.Max(worst, math.Abs(ys[i]-base-slope*xs[i]))
+		maxError = math.Max(maxError, math.Abs(ys[i]-intercept-slope*xs[i]))
 	}
 	if largest > 0 {
-		worst /= largest
+		maxError /= largest
 	}
-	return Fit{Base: base, Slope: slope, Error: worst}
+	return Fit{Intercept: intercept, Slope: slope, MaxError: maxError}
 }
 
-// measures are what is fitted.
+// measures are the measures that a line is fitted to.
 var measures = []struct {
 	name string
 	of   func(Sample) float64
@@ -346,7 +358,7 @@
 	{"table reads a second", func(s Sample) float64 { return s.ReadsPerSecond }},
 }
 
-// Print writes the samples of a sweep and the fits.
+// Print writes a table of the samples of a sweep and the fitted lines.
 func (s Sweep) Print(w io.Writer, samples []Sample) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(t, "%s\tCPU %%\tmemory MB\tbytes/s\twrites/s\treads/s\t%s\t\n", s.Name, s.ExtraName)
@@ -357,8 +369,8 @@
 		return err
 	}
 	for _, m := range measures {
-		f := FitOf(samples, m.of)
-		fmt.Fprintf(w, "  %s: %.4g + %.4g for each %s (largest error %.0f%%)\n", m.name, f.Base, f.Slope, s.Unit, f.Error*100)
+		f := FitLine(samples, m.of)
+		fmt.Fprintf(w, "  %s: %.4g + %.4g for each %s (largest error %.0f%%)\n", m.name, f.Intercept, f.Slope, s.Unit, f.MaxError*100)
 	}
 	return nil
 }
