--- a/lab/platformstandin/http.go
+++ b/lab/platformstandin/http.go
@@ -14,7 +14,7 @@
 	"peridotpick.example/service/tableclient"
 )
 
-// Server serves the stand-ins over the HTTP protocol that package client speaks.
+// Server offers the fake services over the HTTP protocol of package tableclient.
 type Server struct {
 	table   table.Table
 	objects table.Objects
@@ -22,7 +22,7 @@
 	http    *fasthttp.Server
 }
 
-// NewServer returns a server of the three services; workers may be nil.
+// NewServer returns a server of the three services. w may be nil if no client uses the power control.
 func NewServer(t table.Table, o table.Objects, w table.Workers) *Server {
 	s := &Server{table: t, objects: o, workers: w}
 	s.http = &fasthttp.Server{Handler: s.handle, Name: "platform-standin", IdleTimeout: time.Minute}
@@ -32,60 +32,62 @@
 // Serve accepts connections until Close.
 func (s *Server) Serve(l net.Listener) error { return s.http.Serve(l) }
 
-// Close stops the server.
+// Close stops the server after it has answered its open requests.
 func (s *Server) Close() error { return s.http.Shutdown() }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	switch {
 	case path == tableclient.PathCommit:
-		s.commit(ctx)
+		s.handleCommit(ctx)
 	case path == tableclient.PathRow:
 		row, err := s.table.Get(ctx, string(ctx.QueryArgs().Peek("key")))
-		reply(ctx, row, err)
+		writeReply(ctx, row, err)
 	case path == tableclient.PathRows:
 		limit, _ := ctx.QueryArgs().GetUint("limit")
 		rows, err := s.table.List(ctx, string(ctx.QueryArgs().Peek("prefix")), string(ctx.QueryArgs().Peek("after")), limit)
-		reply(ctx, rows, err)
+		writeReply(ctx, rows, err)
 	case strings.HasPrefix(path, tableclient.PathObjects):
-		s.object(ctx, strings.TrimPrefix(path, tableclient.PathObjects))
+		s.handleObject(ctx, strings.TrimPrefix(path, tableclient.PathObjects))
 	case path == tableclient.PathWorkers:
 		list, err := s.workers.List(ctx)
-		reply(ctx, list, err)
+		writeReply(ctx, list, err)
 	case strings.HasPrefix(path, tableclient.PathWorkers+"/"):
-		s.power(ctx, strings.Split(strings.TrimPrefix(path, tableclient.PathWorkers+"/"), "/"))
+		s.handlePower(ctx, strings.Split(strings.TrimPrefix(path, tableclient.PathWorkers+"/"), "/"))
 	default:
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 	}
 }
 
-func (s *Server) commit(ctx *fasthttp.RequestCtx) {
+func (s *Server) handleCommit(ctx *fasthttp.RequestCtx) {
 	var ops []table.Op
 	if err := json.Unmarshal(ctx.PostBody(), &ops); err != nil {
 		ctx.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
 	result, err := s.table.Commit(ctx, ops)
-	reply(ctx, result, err)
+	writeReply(ctx, result, err)
 }
 
-func (s *Server) object(ctx *fasthttp.RequestCtx, name string) {
+func (s *Server) handleObject(ctx *fasthttp.RequestCtx, name string) {
 	switch string(ctx.Method()) {
 	case fasthttp.MethodPut:
-		reply(ctx, nil, s.objects.Put(ctx, name, append([]byte(nil), ctx.PostBody()...)))
+		writeReply(ctx, nil, s.objects.Put(ctx, name, append([]byte(nil), ctx.PostBody()...)))
 	case fasthttp.MethodDelete:
-		reply(ctx, nil, s.objects.Delete(ctx, name))
+		writeReply(ctx, nil, s.objects.Delete(ctx, name))
 	default:
 		data, err := s.objects.Get(ctx, name)
 		if err != nil {
-			reply(ctx, nil, err)
+			writeReply(ctx, nil, err)
 			return
 		}
 		ctx.SetBody(data)
 	}
 }
 
-func (s *Server) power(ctx *fasthttp.RequestCtx, parts []string) {
+// handlePower handles a request to wake a worker or to put it to sleep; parts are the worker's ID and
+// "wake" or "sleep".
+func (s *Server) handlePower(ctx *fasthttp.RequestCtx, parts []string) {
 	if len(parts) != 2 {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
@@ -95,12 +97,13 @@
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	reply(ctx, nil, change(ctx, parts[0]))
+	writeReply(ctx, nil, change(ctx, parts[0]))
 }
 
-// reply writes body as JSON, or closes the connection without an answer if the
-// fate of the request is to be unknown to the client.
-func reply(ctx *fasthttp.RequestCtx, body any, err error) {
+// writeReply answers with body as JSON, or with the status of a known error. For any other error it
+// closes the connection without an answer, so that the client cannot tell whether the request took
+// effect.
+func writeReply(ctx *fasthttp.RequestCtx, body any, err error) {
 	switch {
 	case errors.Is(err, table.ErrThrottled):
 		ctx.SetStatusCode(fasthttp.StatusTooManyRequests)
--- a/lab/platformstandin/objects.go
+++ b/lab/platformstandin/objects.go
@@ -7,7 +7,7 @@
 	"peridotpick.example/common/table"
 )
 
-// Objects is the stand-in for the object store.
+// Objects is the fake object store. It is safe for concurrent use.
 type Objects struct {
 	mu    sync.Mutex
 	items map[string][]byte
@@ -17,7 +17,7 @@
 // NewObjects returns an empty store.
 func NewObjects() *Objects { return &Objects{items: make(map[string][]byte)} }
 
-// SetDown switches an outage.
+// SetDown begins or ends an outage, during which every request fails without effect.
 func (o *Objects) SetDown(down bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -29,7 +29,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
-		return errLost
+		return errConnectionLost
 	}
 	o.items[name] = data
 	return nil
@@ -40,7 +40,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
-		return nil, errLost
+		return nil, errConnectionLost
 	}
 	data, ok := o.items[name]
 	if !ok {
@@ -54,7 +54,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.down {
-		return errLost
+		return errConnectionLost
 	}
 	delete(o.items, name)
 	return nil
--- a/lab/platformstandin/table.go
+++ b/lab/platformstandin/table.go
@@ -1,5 +1,6 @@
-// Package platformstandin is an in-memory platform for tests, demos and experiments.
-// Its faults are switched by the test that owns it.
+// Package platformstandin is a fake of the customers' platform for tests, demos and experiments: a
+// table service, an object store and the power control of workers, in memory. Server offers them over
+// HTTP. Faults of the table service and outages of the object store can be set at any time.
 package platformstandin
 
 import (
@@ -16,14 +17,15 @@
 	"peridotpick.example/common/table"
 )
 
-// Faults are the faults of the table service at present. The zero value is
-// a healthy service without latency.
+// Faults are the latencies and faults of the table service at present. The zero value is a healthy
+// service without latency.
 type Faults struct {
-	// WriteLatency and ReadLatency are the mean times of one request.
+	// WriteLatency and ReadLatency are the mean times that one request takes.
 	WriteLatency, ReadLatency time.Duration
-	// Jitter is the part of a latency that varies, 0 to 1.
+	// Jitter, 0 to 1, is the largest deviation of a latency from its mean, as a part of the mean. The
+	// deviation is uniform.
 	Jitter float64
-	// Down makes every request fail without effect.
+	// Down makes every request fail without effect, as if the connection was lost.
 	Down bool
 	// LoseAnswers is the probability that a commit takes effect and its answer is lost.
 	LoseAnswers float64
@@ -31,10 +33,11 @@
 	DropRequests float64
 }
 
-// errLost is what a caller sees when either the request or the answer was lost.
-var errLost = eris.New("connection to the table service was lost")
+// errConnectionLost is the error when the request or its answer is lost: the client cannot tell whether
+// the request took effect.
+var errConnectionLost = eris.New("connection to the table service was lost")
 
-// Table is the stand-in for the table service.
+// Table is the fake table service. It is safe for concurrent use.
 type Table struct {
 	mu      sync.Mutex
 	rows    map[string]table.Row
@@ -46,41 +49,43 @@
 	counts  Counts
 }
 
-// Counts are the requests that a Table has served.
+// Counts are the numbers of requests that a Table has served or refused for their rate, and of the rows
+// that it has.
 type Counts struct {
 	Writes, Reads, Rows, Throttled uint64
 }
 
-// Rates of the platform that the brief states.
+// Limits of the customers' table service as their brief states them, in requests per second.
 const (
 	DefaultWriteRate = 300
 	DefaultReadRate  = 2000
 )
 
-// NewTable returns an empty table that admits the given rates per second; a
-// rate of 0 means no limit.
-func NewTable(seed uint64, writes, reads float64) *Table {
+// NewTable returns an empty table that admits commits and reads up to a rate each, in requests per
+// second; a rate of 0 means no limit. seed seeds jitter and faults.
+func NewTable(seed uint64, writesPerSecond, readsPerSecond float64) *Table {
 	return &Table{
 		rows: make(map[string]table.Row), rng: rand.New(rand.NewPCG(seed, seed)),
-		writes: limiter(writes), reads: limiter(reads),
+		writes: newLimiter(writesPerSecond), reads: newLimiter(readsPerSecond),
 	}
 }
 
-func limiter(perSecond float64) *rate.Limiter {
+// newLimiter returns a limiter whose burst is the requests of a quarter of a second; 0 means no limit.
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond == 0 {
 		return rate.NewLimiter(rate.Inf, 0)
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond/4)+1)
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults for requests from now on.
 func (t *Table) SetFaults(f Faults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.faults = f
 }
 
-// Counts returns the requests served so far.
+// Counts returns the counts so far.
 func (t *Table) Counts() Counts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,21 +100,21 @@
 		t.countThrottled()
 		return table.Commit{}, table.ErrThrottled
 	}
-	wait, down, dropped, lost := t.draw(false)
-	if err := sleep(ctx, wait); err != nil {
+	latency, down, dropped, lost := t.drawFaults(false)
+	if err := wait(ctx, latency); err != nil {
 		return table.Commit{}, table.ErrNotSent
 	}
 	if down || dropped {
-		return table.Commit{}, errLost
+		return table.Commit{}, errConnectionLost
 	}
 	result := t.apply(ops)
 	if lost {
-		return table.Commit{}, errLost
+		return table.Commit{}, errConnectionLost
 	}
 	return result, nil
 }
 
-// Apply commits at once, without faults or latency.
+// Apply commits a transaction immediately, without faults, latency or rate limit.
 func (t *Table) Apply(ops []table.Op) table.Commit { return t.apply(ops) }
 
 func (t *Table) apply(ops []table.Op) table.Commit {
@@ -118,7 +123,7 @@
 	t.counts.Writes++
 	var result table.Commit
 	for i, op := range ops {
-		if c, holds := t.check(i, op); !holds {
+		if c, holds := t.checkVersion(i, op); !holds {
 			result.Conflicts = append(result.Conflicts, c)
 		}
 	}
@@ -136,7 +141,9 @@
 	return table.Commit{Applied: true, Version: t.version}
 }
 
-func (t *Table) check(i int, op table.Op) (table.Conflict, bool) {
+// checkVersion returns whether the condition of an operation holds, and the conflict if not. i is the
+// index of the operation.
+func (t *Table) checkVersion(i int, op table.Op) (table.Conflict, bool) {
 	row, exists := t.rows[op.Key]
 	switch {
 	case op.IfVersion == table.Any, !exists && op.IfVersion == 0, exists && row.Version == op.IfVersion:
@@ -149,7 +156,7 @@
 
 // Get implements table.Table.
 func (t *Table) Get(ctx context.Context, key string) (*table.Row, error) {
-	if err := t.read(ctx); err != nil {
+	if err := t.admitRead(ctx); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
@@ -163,7 +170,7 @@
 
 // List implements table.Table.
 func (t *Table) List(ctx context.Context, prefix, after string, limit int) ([]table.Row, error) {
-	if err := t.read(ctx); err != nil {
+	if err := t.admitRead(ctx); err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
@@ -178,17 +185,18 @@
 	return rows[:min(limit, len(rows))], nil
 }
 
-func (t *Table) read(ctx context.Context) error {
+// admitRead applies the rate limit, the latency and the faults to one read, and counts it.
+func (t *Table) admitRead(ctx context.Context) error {
 	if !t.reads.Allow() {
 		t.countThrottled()
 		return table.ErrThrottled
 	}
-	wait, down, _, _ := t.draw(true)
-	if err := sleep(ctx, wait); err != nil {
+	latency, down, _, _ := t.drawFaults(true)
+	if err := wait(ctx, latency); err != nil {
 		return err
 	}
 	if down {
-		return errLost
+		return errConnectionLost
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -202,21 +210,23 @@
 	t.counts.Throttled++
 }
 
-// draw decides the fate of one request.
-func (t *Table) draw(read bool) (wait time.Duration, down, dropped, lost bool) {
+// drawFaults draws the latency and the faults of one request: whether the service is down, the request
+// is dropped, or its answer is lost.
+func (t *Table) drawFaults(read bool) (latency time.Duration, down, dropped, lost bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	wait = t.faults.WriteLatency
+	latency = t.faults.WriteLatency
 	if read {
-		wait = t.faults.ReadLatency
+		latency = t.faults.ReadLatency
 	}
-	wait = time.Duration(float64(wait) * (1 + t.faults.Jitter*(2*t.rng.Float64()-1)))
+	latency = time.Duration(float64(latency) * (1 + t.faults.Jitter*(2*t.rng.Float64()-1)))
 	dropped = t.rng.Float64() < t.faults.DropRequests
 	lost = t.rng.Float64() < t.faults.LoseAnswers
-	return wait, t.faults.Down, dropped, lost
+	return latency, t.faults.Down, dropped, lost
 }
 
-func sleep(ctx context.Context, d time.Duration) error {
+// wait waits for a duration; it returns the error of ctx if that ends first.
+func wait(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
 	}
--- a/lab/platformstandin/workers.go
+++ b/lab/platformstandin/workers.go
@@ -9,27 +9,29 @@
 	"peridotpick.example/common/table"
 )
 
-// Workers is the stand-in for the platform's power control.
+// Workers is the fake power control of the platform. A worker is asleep, waking or awake. It is safe for
+// concurrent use.
 type Workers struct {
 	mu      sync.Mutex
-	workers map[string]*powered
-	// WakeTime is how long a worker takes to wake.
+	workers map[string]*workerPower
+	// WakeTime is the time that a worker takes to wake.
 	WakeTime time.Duration
-	// OnAwake and OnAsleep are called without lock when a worker has changed state.
+	// OnAwake and OnAsleep are called, without the lock held, after a worker has woken or fallen asleep.
 	OnAwake, OnAsleep func(id string)
-	awakeSeconds      float64
+	endedAwakeSeconds float64
 }
 
-type powered struct {
+// workerPower is a worker and the time since which its power state is as it is.
+type workerPower struct {
 	worker table.Worker
 	since  time.Time
 }
 
-// NewWorkers returns a power control over the given workers.
+// NewWorkers returns a power control of workers, in the power states that they have in the list.
 func NewWorkers(wakeTime time.Duration, workers []table.Worker) *Workers {
-	w := &Workers{workers: make(map[string]*powered), WakeTime: wakeTime}
+	w := &Workers{workers: make(map[string]*workerPower), WakeTime: wakeTime}
 	for _, worker := range workers {
-		w.workers[worker.ID] = &powered{worker: worker, since: time.Now()}
+		w.workers[worker.ID] = &workerPower{worker: worker, since: time.Now()}
 	}
 	return w
 }
@@ -57,15 +59,16 @@
 		return table.ErrNotFound
 	}
 	if p.worker.Power == table.Asleep {
-		w.set(p, table.Waking)
-		time.AfterFunc(w.WakeTime, func() { w.awake(id) })
+		w.setPower(p, table.Waking)
+		time.AfterFunc(w.WakeTime, func() { w.finishWaking(id) })
 	}
 	return nil
 }
 
-func (w *Workers) awake(id string) {
+// finishWaking makes a worker awake whose wake time is over.
+func (w *Workers) finishWaking(id string) {
 	w.mu.Lock()
-	w.set(w.workers[id], table.Awake)
+	w.setPower(w.workers[id], table.Awake)
 	w.mu.Unlock()
 	if w.OnAwake != nil {
 		w.OnAwake(id)
@@ -82,7 +85,7 @@
 	}
 	changed := p.worker.Power == table.Awake
 	if changed {
-		w.set(p, table.Asleep)
+		w.setPower(p, table.Asleep)
 	}
 	w.mu.Unlock()
 	if changed && w.OnAsleep != nil {
@@ -91,20 +94,21 @@
 	return nil
 }
 
-// set changes the state of p and books the time awake.
-func (w *Workers) set(p *powered, state table.PowerState) {
+// setPower changes the power state of p, and adds the time in its previous state to the awake time
+// unless it was asleep. w.mu must be held.
+func (w *Workers) setPower(p *workerPower, state table.PowerState) {
 	if p.worker.Power != table.Asleep {
-		w.awakeSeconds += time.Since(p.since).Seconds()
+		w.endedAwakeSeconds += time.Since(p.since).Seconds()
 	}
 	p.worker.Power = state
 	p.since = time.Now()
 }
 
-// AwakeSeconds returns the sum of the time that workers were awake or waking.
+// AwakeSeconds returns the time that workers have been awake or waking, summed over all workers.
 func (w *Workers) AwakeSeconds() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	total := w.awakeSeconds
+	total := w.endedAwakeSeconds
 	for _, p := range w.workers {
 		if p.worker.Power != table.Asleep {
 			total += time.Since(p.since).Seconds()
