--- a/lab/backendserver/server.go
+++ b/lab/backendserver/server.go
@@ -1,9 +1,10 @@
-// Package backendserver is a stand-in for a backend server: it runs tasks by
-// waiting, within its slots, and can be told to misbehave.
+// Package backendserver is a fake backend server for tests, demos and experiments. It runs a task by
+// waiting for its run time, and its faults can be set while it runs. It does not limit the number of
+// tasks at once: its agent does.
 //
-// A payload {"runMs": 120, ...} asks for that run time. The answer names the
-// server, the kind and the checksum of the payload, so that a caller can tell
-// whether it got the whole answer to its own request.
+// A payload {"runMs": 120, ...} asks for a run time in milliseconds. The answer names the server, the
+// kind and the checksum of the payload, so that a caller can check that it is the complete answer to
+// its own request.
 package backendserver
 
 import (
@@ -20,16 +21,16 @@
 	"peridotpick.example/service/backend"
 )
 
-// Faults are the present faults; the zero value is a healthy server.
+// Faults are the faults that a server has at present; the zero value is a healthy server.
 type Faults struct {
 	// Slow multiplies run times; 0 means 1.
 	Slow float64
-	// FailAll fails every task at once.
+	// FailAll makes every task fail immediately with status 500.
 	FailAll bool
 }
 
-// Start is one start of a task, for the detection of double starts.
-type Start struct {
+// TaskStart identifies one start of a task, as in the headers of package backend.
+type TaskStart struct {
 	Submission string
 	Task       string
 	Attempt    string
@@ -39,98 +40,105 @@
 type Result struct {
 	Server string `json:"server"`
 	Kind   string `json:"kind"`
-	// Sum is the xxh3 checksum of the payload.
+	// Sum is the checksum of the payload; see Checksum.
 	Sum string `json:"sum"`
 }
 
-// payload is the part of a task's payload that the stand-in reads.
-type payload struct {
+// runRequest is the part of a task's payload that the server reads.
+type runRequest struct {
+	// RunMs is the run time in milliseconds.
 	RunMs float64 `json:"runMs"`
-	// ID names the task in the journal; submission and index do if it is empty.
+	// ID identifies the task in the journal. If it is empty, submission and index do: SUBMISSION#INDEX.
 	ID string `json:"id"`
 }
 
-// Journal records all starts of a set of servers.
+// Journal counts the starts of each task at a set of servers, so that a second start is seen even if
+// it is on another server.
 type Journal struct {
-	mu     sync.Mutex
-	starts map[string]int
-	total  int
+	mu           sync.Mutex
+	startsByTask map[string]int
+	totalStarts  int
 }
 
 // NewJournal returns an empty journal.
-func NewJournal() *Journal { return &Journal{starts: make(map[string]int)} }
+func NewJournal() *Journal { return &Journal{startsByTask: make(map[string]int)} }
 
-func (j *Journal) record(s Start, id string) {
+// record counts one start. id is the ID in the payload, empty if there is none.
+func (j *Journal) record(s TaskStart, id string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if id == "" {
 		id = s.Submission + "#" + s.Task
 	}
-	j.starts[id]++
-	j.total++
+	j.startsByTask[id]++
+	j.totalStarts++
 }
 
-// StartsOf returns how often the task with the payload's id was started.
+// StartsOf returns how often the task with an ID in its payload was started.
 func (j *Journal) StartsOf(id string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.starts[id]
+	return j.startsByTask[id]
 }
 
-// Starts returns how often a task of a submission was started.
+// Starts returns how often a task without an ID in its payload was started; task is its index in the
+// submission.
 func (j *Journal) Starts(submission string, task int) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.starts[submission+"#"+strconv.Itoa(task)]
+	return j.startsByTask[submission+"#"+strconv.Itoa(task)]
 }
 
-// Total returns the number of starts, and of tasks started more than once.
+// Total returns the number of starts and the number of tasks that were started more than once.
 func (j *Journal) Total() (starts, twice int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	for _, n := range j.starts {
+	for _, n := range j.startsByTask {
 		if n > 1 {
 			twice++
 		}
 	}
-	return j.total, twice
+	return j.totalStarts, twice
 }
 
-// Twice returns the tasks started more than once for which keep is true.
+// Twice returns the tasks that were started more than once, of those for which keep returns true, in no
+// particular order.
 func (j *Journal) Twice(keep func(task string) bool) []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	var list []string
-	for task, n := range j.starts {
-		if n > 1 && keep(task) {
-			list = append(list, task)
+	var tasks []string
+	for task, count := range j.startsByTask {
+		if count > 1 && keep(task) {
+			tasks = append(tasks, task)
 		}
 	}
-	return list
+	return tasks
 }
 
-// Server is one stand-in.
+// Server is one fake backend server.
 type Server struct {
 	name     string
 	journal  *Journal
 	http     *fasthttp.Server
 	listener net.Listener
 
-	mu      sync.Mutex
-	faults  Faults
-	running int
-	peak    int
-	busy    time.Duration
-	dead    chan struct{}
+	mu           sync.Mutex
+	faults       Faults
+	runningTasks int
+	peakTasks    int
+	busyTime     time.Duration
+	// killed is closed by Die.
+	killed chan struct{}
 }
 
-// New returns a server that listens on the address; port 0 chooses one.
+// New returns a server that listens on an address, IP:port; port 0 lets the system choose one. journal
+// may be shared by several servers.
 func New(name, address string, journal *Journal) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, eris.Wrap(err, "listen")
 	}
-	s := &Server{name: name, journal: journal, listener: listener, dead: make(chan struct{})}
+	s := &Server{name: name, journal: journal, listener: listener, killed: make(chan struct{})}
 	s.http = &fasthttp.Server{Handler: s.handle, Name: "backend-standin", NoDefaultDate: true, CloseOnShutdown: true}
 	return s, nil
 }
@@ -138,64 +146,68 @@
 // Address returns the IP:port of the server.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve serves until Close or Die.
+// Serve accepts connections until Die.
 func (s *Server) Serve() error { return s.http.Serve(s.listener) }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the faults for tasks that start from now on.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Die ends the server at once: running tasks never answer.
+// Die ends the server immediately, as a crash would: running tasks get no answer, their connections
+// close. Further calls do nothing.
 func (s *Server) Die() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-s.dead:
+	case <-s.killed:
 		return
 	default:
 	}
-	close(s.dead)
+	close(s.killed)
 	_ = s.listener.Close()
 }
 
-// Usage returns the most tasks that ran at once, and the time spent running.
+// Usage returns the largest number of tasks that ran at once, and the sum of the run times of all tasks
+// that have ended.
 func (s *Server) Usage() (peak int, busy time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.peak, s.busy
+	return s.peakTasks, s.busyTime
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
 	if path == backend.PathStop {
-		return // running tasks of the stand-in cannot be stopped
+		return // a request to stop is accepted without effect: tasks cannot be stopped here
 	}
 	if len(path) <= len(backend.PathRun) {
 		ctx.SetStatusCode(fasthttp.StatusNotFound)
 		return
 	}
-	s.run(ctx, path[len(backend.PathRun):])
+	s.runTask(ctx, path[len(backend.PathRun):])
 }
 
-func (s *Server) run(ctx *fasthttp.RequestCtx, kind string) {
+// runTask records the start of a task, waits for its run time and answers it. If the server is killed
+// meanwhile, the connection is closed without an answer.
+func (s *Server) runTask(ctx *fasthttp.RequestCtx, kind string) {
 	header := &ctx.Request.Header
-	var asked payload
-	_ = json.Unmarshal(ctx.PostBody(), &asked) // a payload of another form runs for no time
-	s.journal.record(Start{
+	var request runRequest
+	_ = json.Unmarshal(ctx.PostBody(), &request) // a payload of another form has a run time of 0
+	s.journal.record(TaskStart{
 		Submission: string(header.Peek(backend.HeaderSubmission)),
 		Task:       string(header.Peek(backend.HeaderTask)),
 		Attempt:    string(header.Peek(backend.HeaderAttempt)),
-	}, asked.ID)
-	faults := s.begin()
-	defer s.end(time.Now())
+	}, request.ID)
+	faults := s.beginTask()
+	defer s.endTask(time.Now())
 	if faults.FailAll {
 		ctx.Error("this server fails everything", fasthttp.StatusInternalServerError)
 		return
 	}
-	if !s.work(runTime(asked, faults)) {
+	if !s.simulateRun(runTime(request, faults)) {
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(net.Conn) {})
 		return
@@ -209,34 +221,37 @@
 	ctx.SetBody(body)
 }
 
-// Checksum returns the checksum of a payload as it stands in a Result.
+// Checksum returns the xxh3 checksum of a payload in hexadecimal, as in Result.Sum.
 func Checksum(payload []byte) string { return strconv.FormatUint(xxh3.Hash(payload), 16) }
 
-func runTime(p payload, faults Faults) time.Duration {
+// runTime returns the run time of a task under faults.
+func runTime(request runRequest, faults Faults) time.Duration {
 	factor := faults.Slow
 	if factor == 0 {
 		factor = 1
 	}
-	return time.Duration(p.RunMs * factor * float64(time.Millisecond))
+	return time.Duration(request.RunMs * factor * float64(time.Millisecond))
 }
 
-func (s *Server) begin() Faults {
+// beginTask counts a task as running and returns the faults that apply to it.
+func (s *Server) beginTask() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running++
-	s.peak = max(s.peak, s.running)
+	s.runningTasks++
+	s.peakTasks = max(s.peakTasks, s.runningTasks)
 	return s.faults
 }
 
-func (s *Server) end(began time.Time) {
+// endTask counts a task that began at a time as ended.
+func (s *Server) endTask(began time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running--
-	s.busy += time.Since(began)
+	s.runningTasks--
+	s.busyTime += time.Since(began)
 }
 
-// work waits for the run time. It reports false if the server died meanwhile.
-func (s *Server) work(run time.Duration) bool {
+// simulateRun waits for the run time. It returns false if the server is killed first.
+func (s *Server) simulateRun(run time.Duration) bool {
 	if run <= 0 {
 		return true
 	}
@@ -245,7 +260,7 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-s.dead:
+	case <-s.killed:
 		return false
 	}
 }
