--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs both users' examples through a whole deployment inside one
-// process and checks every answer.
+// Package demo sends example requests of both users to a deployment inside one process and checks every
+// answer.
 package demo
 
 import (
@@ -18,18 +18,20 @@
 	"peridotpick.example/lab/cluster"
 )
 
-// readyWithin bounds the start of a deployment.
-const readyWithin = 20 * time.Second
+// readyTimeout bounds the time until a started deployment is ready.
+const readyTimeout = 20 * time.Second
 
 // example is one request of the demo.
 type example struct {
 	title string
-	key   string
-	// kinds are those of the job's tasks; a single one is sent as a call.
+	// key is the idempotency key; may be empty for a call.
+	key string
+	// kinds and payloads are those of the tasks. A single task is sent as a call, several as a job.
 	kinds    []string
 	payloads []string
 }
 
+// associationExamples returns the requests of the Association.
 func associationExamples() []example {
 	scans := example{title: "tray-scan batch", key: "scan-batch-2026-12-02-hall-a"}
 	for i := range 24 {
@@ -43,6 +45,7 @@
 	}
 }
 
+// licensingExamples returns the requests of the Licensing Unit.
 func licensingExamples() []example {
 	batch := example{title: "renewal batch", key: "renewals-2026-12-02-portal"}
 	for i := range 16 {
@@ -57,8 +60,8 @@
 	}
 }
 
-// Run runs the demo and writes what happened to w. It returns an error unless
-// every answer was complete and right.
+// Run runs the demo and writes a line for each request to w. It returns an error if an answer is not
+// complete and right, or if a task starts twice.
 func Run(ctx context.Context, w io.Writer, sink *logs.Sink) error {
 	users := []struct {
 		name     string
@@ -80,51 +83,55 @@
 	return nil
 }
 
-func runUser(ctx context.Context, w io.Writer, name, team string, shape cluster.Shape, examples []example) error {
-	c, err := cluster.Start(shape)
+// runUser starts the deployment of one user, sends the examples to its entries in turn, and then the
+// first one again.
+func runUser(ctx context.Context, w io.Writer, name, team string, spec cluster.Shape, examples []example) error {
+	c, err := cluster.Start(spec)
 	if err != nil {
 		return err
 	}
 	defer c.Stop()
-	ready, cancel := context.WithTimeout(ctx, readyWithin)
+	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := c.Ready(ready); err != nil {
+	if err := c.Ready(readyCtx); err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "%s: %d entries, %d backend servers of %d slots in %v\n",
-		name, shape.Entries, shape.Agents, shape.Slots, shape.DataCentres)
+		name, spec.Entries, spec.Agents, spec.Slots, spec.DataCentres)
 	for i, ex := range examples {
-		address := c.Entries()[i%shape.Entries].Entry.Address()
-		if err := runExample(w, caller.New(address, team), shape.Service, ex); err != nil {
+		address := c.Entries()[i%spec.Entries].Entry.Address()
+		if err := runExample(w, caller.New(address, team), spec.Service, ex); err != nil {
 			return eris.Wrap(err, ex.title)
 		}
 	}
-	return resubmit(w, c, team, shape, examples[0])
+	return resubmit(w, c, team, spec, examples[0])
 }
 
+// runExample sends an example, checks that each result belongs to its task, and writes a line about it.
 func runExample(w io.Writer, client *caller.Client, service string, ex example) error {
-	began := time.Now()
-	results, err := send(client, service, ex)
+	sentAt := time.Now()
+	results, err := sendExample(client, service, ex)
 	if err != nil {
 		return err
 	}
-	servers := make(map[string]int)
+	tasksByServer := make(map[string]int)
 	for i, raw := range results {
-		var r backendserver.Result
-		if err := json.Unmarshal(raw, &r); err != nil {
+		var result backendserver.Result
+		if err := json.Unmarshal(raw, &result); err != nil {
 			return eris.Wrap(err, "decode result")
 		}
-		if want := backendserver.Checksum([]byte(ex.payloads[i])); r.Sum != want || r.Kind != ex.kinds[i] {
-			return eris.Errorf("task %d: got the answer to another request: %+v", i, r)
+		if want := backendserver.Checksum([]byte(ex.payloads[i])); result.Sum != want || result.Kind != ex.kinds[i] {
+			return eris.Errorf("task %d: got the answer to another request: %+v", i, result)
 		}
-		servers[r.Server]++
+		tasksByServer[result.Server]++
 	}
-	fmt.Fprintf(w, "  %-18s %2d tasks complete in %4d ms, ran on %s\n", ex.title, len(results), time.Since(began).Milliseconds(), spread(servers))
+	fmt.Fprintf(w, "  %-18s %2d tasks complete in %4d ms, ran on %s\n", ex.title, len(results), time.Since(sentAt).Milliseconds(), formatCounts(tasksByServer))
 	return nil
 }
 
-// send sends an example as a call if it is one task without a batch, else as a job.
-func send(client *caller.Client, service string, ex example) ([]json.RawMessage, error) {
+// sendExample sends an example, as a call if it has one task and as a job otherwise, and returns the
+// results of its tasks.
+func sendExample(client *caller.Client, service string, ex example) ([]json.RawMessage, error) {
 	if len(ex.kinds) == 1 {
 		body, err := client.Call(service, ex.kinds[0], ex.key, 5*time.Second, []byte(ex.payloads[0]))
 		return []json.RawMessage{body}, err
@@ -136,11 +143,11 @@
 	return client.Submit(ex.key, job)
 }
 
-// resubmit sends the first example again to another entry: the same answer
-// must come and nothing may start again.
-func resubmit(w io.Writer, c *cluster.Cluster, team string, shape cluster.Shape, ex example) error {
+// resubmit sends an example again, with the same key, to the last entry: the answer must be the same and
+// no task may start again.
+func resubmit(w io.Writer, c *cluster.Cluster, team string, spec cluster.Shape, ex example) error {
 	before, _ := c.Journal.Total()
-	if err := runExample(w, caller.New(c.Entries()[shape.Entries-1].Entry.Address(), team), shape.Service,
+	if err := runExample(w, caller.New(c.Entries()[spec.Entries-1].Entry.Address(), team), spec.Service,
 		example{title: ex.title + ", again", key: ex.key, kinds: ex.kinds, payloads: ex.payloads}); err != nil {
 		return err
 	}
@@ -151,16 +158,16 @@
 	return nil
 }
 
-// spread lists how many tasks ran on each server.
-func spread(servers map[string]int) string {
-	names := make([]string, 0, len(servers))
-	for name := range servers {
+// formatCounts lists how many tasks each server ran, as WORKER×COUNT.
+func formatCounts(tasksByServer map[string]int) string {
+	names := make([]string, 0, len(tasksByServer))
+	for name := range tasksByServer {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	text := ""
 	for _, name := range names {
-		text += fmt.Sprintf("%s×%d ", name[len("backend-"):], servers[name])
+		text += fmt.Sprintf("%s×%d ", name[len("backend-"):], tasksByServer[name])
 	}
 	return text
 }
