--- a/cmd/peridotpick-agent/supervise.go
+++ b/cmd/peridotpick-agent/supervise.go
@@ -49,13 +49,15 @@
 	a := runner.New(superviseSettings(file), runner.Deps{
 		Logs: sink, Transport: transport.New(nil), Registry: store.New(file.Platform.Address, log),
 		Metrics: registry,
-		Worker:  worker.New(file.BackendServer, core.Standard().LookWait, log),
+		Worker:  worker.New(file.BackendServer, core.DefaultSettings().PollWait, log),
 	})
 	announcements := worker.NewAnnouncements(file.Name, a, log)
 	serveCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	group, _ := errgroup.WithContext(serveCtx)
-	group.Go(func() error { return telemetry.Serve(serveCtx, file.Metrics(), registry, command.Bool(profileFlag)) })
+	group.Go(func() error {
+		return telemetry.Serve(serveCtx, file.MetricsAddress(), registry, command.Bool(profileFlag))
+	})
 	group.Go(func() error { return announcements.Serve(serveCtx, file.Listen.Announce) })
 	group.Go(func() error {
 		defer stop()
@@ -70,12 +72,12 @@
 
 // superviseSettings returns the settings of an agent from the platform's settings file.
 func superviseSettings(file *boot.File) runner.Settings {
-	coreSettings := core.Standard()
+	coreSettings := core.DefaultSettings()
 	coreSettings.Agent = file.Name
-	coreSettings.DrainsWithin = file.DrainsWithin(coreSettings.DrainsWithin)
+	coreSettings.DrainViewMaxAge = file.DrainViewMaxAge(coreSettings.DrainViewMaxAge)
 	leaseTimes := file.Leases()
-	coreSettings.OwnerLease, coreSettings.WorkerLease, coreSettings.LongestLease = leaseTimes.Owner, leaseTimes.Worker, file.LongestLease()
+	coreSettings.OwnerLease, coreSettings.WorkerLease, coreSettings.MaxWorkerLease = leaseTimes.Owner, leaseTimes.Worker, file.MaxWorkerLease()
 	return runner.Settings{
-		Name: file.Name, DataCentre: file.DataCentre, Seeds: file.EntrySeeds(), DrainTimeout: file.Grace() - drainReserve, Core: coreSettings,
+		Name: file.Name, DataCentre: file.DataCentre, Seeds: file.EntrySeeds(), DrainTimeout: file.GracePeriod() - drainReserve, Core: coreSettings,
 	}
 }
--- a/cmd/peridotpick/dispatch.go
+++ b/cmd/peridotpick/dispatch.go
@@ -57,10 +57,12 @@
 	defer stop()
 	group, _ := errgroup.WithContext(serveCtx)
 	group.Go(func() error { return e.Run(serveCtx) })
-	group.Go(func() error { return telemetry.Serve(serveCtx, file.Metrics(), registry, command.Bool(profileFlag)) })
+	group.Go(func() error {
+		return telemetry.Serve(serveCtx, file.MetricsAddress(), registry, command.Bool(profileFlag))
+	})
 	group.Go(func() error {
 		defer stop()
-		return callers.Serve(ctx, file.Listen.Callers, file.Listen.Ready, file.Grace())
+		return callers.Serve(ctx, file.Listen.Callers, file.Listen.Ready, file.GracePeriod())
 	})
 	return group.Wait()
 }
@@ -87,18 +89,18 @@
 
 // dispatchSettings returns the settings of an entry from the platform's settings file.
 func dispatchSettings(file *boot.File) batch.Settings {
-	coreSettings := core.Standard()
+	coreSettings := core.DefaultSettings()
 	coreSettings.DataCentre = file.DataCentre
 	leaseTimes := file.Leases()
-	coreSettings.OwnerLease, coreSettings.WorkerLease = leaseTimes.Owner, leaseTimes.RunsOver
+	coreSettings.OwnerLease, coreSettings.WorkerLease = leaseTimes.Owner, leaseTimes.RunExpiry
 	coreSettings.RemoteFactor = file.Bounds.RemoteFactor
 	return batch.Settings{
 		WritesPerSecond: file.Platform.WritesPerSecond * writeShare,
 		Ledger: ledger.Settings{
-			OwnFor: ownershipTTL, RunsOver: leaseTimes.Owner + leaseTimes.RunsOver, SilentAfter: ownerSilenceTimeout,
-			KeepEnded: file.KeepEnded() + retentionSlack, MaxOpen: maxOpenJobs,
+			OwnershipTTL: ownershipTTL, RunExpiry: leaseTimes.Owner + leaseTimes.RunExpiry, SilenceTimeout: ownerSilenceTimeout,
+			EndedRetention: file.JobRetention() + retentionSlack, MaxOpenJobs: maxOpenJobs,
 		},
-		Name: file.Name, Address: file.Internal(file.IP), Seeds: file.EntrySeeds(),
+		Name: file.Name, Address: file.InternalAddress(file.IP), Seeds: file.EntrySeeds(),
 		Core: coreSettings,
 	}
 }
--- a/cmd/peridotpick/emulate.go
+++ b/cmd/peridotpick/emulate.go
@@ -103,18 +103,18 @@
 
 // printEventLog simulates one trial and prints its decisions and faults.
 func printEventLog(d *emulator.Deployment, s *emulator.Scenario, p policy.Policy, seed uint64) error {
-	for _, line := range emulator.Play(d, s, p, seed, true).Story() {
+	for _, line := range emulator.Simulate(d, s, p, seed, true).EventLog() {
 		fmt.Println(line)
 	}
 	return nil
 }
 
 // simulateAll runs an experiment, a trial for each seed, for each scenario.
-func simulateAll(ctx context.Context, cmd *cli.Command, d *emulator.Deployment, list []*emulator.Scenario, p policy.Policy) ([]*emulator.Outcome, error) {
-	var outcomes []*emulator.Outcome
+func simulateAll(ctx context.Context, cmd *cli.Command, d *emulator.Deployment, list []*emulator.Scenario, p policy.Policy) ([]*emulator.ExperimentResult, error) {
+	var outcomes []*emulator.ExperimentResult
 	for _, s := range list {
 		e := emulator.Experiment{
-			Deployment: d, Scenario: s, Policy: p, First: cmd.Uint64("first"), Seeds: cmd.Int("seeds"), Jobs: cmd.Int("jobs"),
+			Deployment: d, Scenario: s, Policy: p, FirstSeed: cmd.Uint64("first"), Seeds: cmd.Int("seeds"), Parallelism: cmd.Int("jobs"),
 		}
 		o, err := e.Run(ctx)
 		if err != nil {
@@ -127,13 +127,13 @@
 
 // reportOutcomes prints outcomes, and plots them if a folder for the report is given. The error
 // tells if a guarantee was violated in a trial.
-func reportOutcomes(cmd *cli.Command, outcomes []*emulator.Outcome) error {
+func reportOutcomes(cmd *cli.Command, outcomes []*emulator.ExperimentResult) error {
 	if cmd.String("output") == outputJSON {
 		if err := json.NewEncoder(os.Stdout).Encode(outcomes); err != nil {
 			return err
 		}
 	} else {
-		table := emulator.PrintHead(os.Stdout)
+		table := emulator.PrintHeader(os.Stdout)
 		for _, o := range outcomes {
 			o.PrintRow(table)
 		}
@@ -148,7 +148,7 @@
 				return err
 			}
 		}
-		violations = append(violations, o.Broken()...)
+		violations = append(violations, o.Violations()...)
 	}
 	if len(violations) > 0 {
 		return errkind.New(errkind.Internal, fmt.Sprintf("%d guarantees violated, the first: %s", len(violations), violations[0]))
--- a/cmd/peridotpick/explain.go
+++ b/cmd/peridotpick/explain.go
@@ -26,7 +26,7 @@
 	if job == "" {
 		return errkind.NewField(errkind.InvalidRequest, "ID", "the ID of the job is missing")
 	}
-	var timeline explain.Story
+	var timeline explain.Timeline
 	for _, path := range cmd.StringSlice("logs") {
 		if err := readLog(&timeline, path, job); err != nil {
 			return err
@@ -39,7 +39,7 @@
 }
 
 // readLog adds the lines of a log file about a job to a timeline.
-func readLog(timeline *explain.Story, path, job string) error {
+func readLog(timeline *explain.Timeline, path, job string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return eris.Wrap(err, "open log")
--- a/cmd/peridotpick/load.go
+++ b/cmd/peridotpick/load.go
@@ -86,9 +86,9 @@
 	var o load.Options
 	switch cmd.String("user") {
 	case "association":
-		o.Shape, o.Mix = cluster.Association(), load.AssociationMix()
+		o.Spec, o.Mix = cluster.Association(), load.AssociationMix()
 	case "licensing":
-		o.Shape, o.Mix = cluster.Licensing(), load.LicensingMix()
+		o.Spec, o.Mix = cluster.Licensing(), load.LicensingMix()
 	default:
 		return o, errkind.NewField(errkind.InvalidRequest, "--user", "association or licensing")
 	}
@@ -96,15 +96,15 @@
 	if err := checkPolicy(cmd.String("policy")); err != nil {
 		return o, err
 	}
-	o.Shape.Asleep = cmd.Int("asleep")
+	o.Spec.Asleep = cmd.Int("asleep")
 	if n := cmd.Int("entries"); n > 0 {
-		o.Shape.Entries = n
+		o.Spec.Entries = n
 	}
 	if w := cmd.Float("weight"); w >= 0 {
-		o.Shape.Document.Policy.ResponseWeight = w
+		o.Spec.Document.Policy.ResponseWeight = w
 	}
 	factor := cmd.Float("misdeclared")
-	o.Shape.Tune = func(s *dispatch.Settings) {
+	o.Spec.Tune = func(s *dispatch.Settings) {
 		if m := cmd.Float("away-margin"); m >= 0 {
 			s.Rank.AwayMargin = m
 		}
@@ -132,19 +132,19 @@
 
 // planLoad generates or reads the arrivals, and reads the faults.
 func planLoad(cmd *cli.Command, o *load.Options) error {
-	slots := o.Shape.Agents * o.Shape.Slots
+	slots := o.Spec.Agents * o.Spec.Slots
 	var err error
-	switch pattern := load.Shape(cmd.String("arrivals")); pattern {
+	switch pattern := load.Pattern(cmd.String("arrivals")); pattern {
 	case load.Steady, load.Bursty, load.Diurnal, load.Step:
 		o.Plan = load.Plan(o.Mix, pattern, cmd.Float("load"), o.Duration, slots, o.Seed)
 	default:
-		if o.Plan, err = load.Replay(string(pattern)); err != nil {
+		if o.Plan, err = load.ReadArrivals(string(pattern)); err != nil {
 			return err
 		}
 	}
 	if flood := cmd.Float("flood"); flood > 0 {
 		o.Flood = load.Plan(o.Mix, load.Steady, flood, o.Duration, slots, o.Seed+floodSeedOffset)
-		o.Shape.Document.Teams = append(o.Shape.Document.Teams, config.Team{Name: load.FloodTeam, Weight: 1})
+		o.Spec.Document.Teams = append(o.Spec.Document.Teams, config.Team{Name: load.FloodTeam, Weight: 1})
 	}
 	if path := cmd.String("faults"); path != "" {
 		o.Faults, err = load.ReadFaults(path)
--- a/cmd/peridotpick/standins.go
+++ b/cmd/peridotpick/standins.go
@@ -45,7 +45,7 @@
 			if err != nil {
 				return err
 			}
-			context.AfterFunc(ctx, server.Die)
+			context.AfterFunc(ctx, server.Kill)
 			err = server.Serve()
 			if ctx.Err() != nil {
 				return nil
--- a/common/config/config.go
+++ b/common/config/config.go
@@ -114,8 +114,8 @@
 // class in messages.
 var classNames = []string{"urgent", "interactive", "batch"}
 
-// Compiled is a valid document, indexed for the look-ups that requests need.
-type Compiled struct {
+// CompiledDocument is a valid document, indexed for the look-ups that requests need.
+type CompiledDocument struct {
 	Version  uint64
 	Document Document
 	teams    map[string]*Team
@@ -146,9 +146,9 @@
 }
 
 // Parse decodes and checks a document. The error is settings.Problems if it is not valid.
-func Parse(data []byte) (*Compiled, error) {
+func Parse(data []byte) (*CompiledDocument, error) {
 	var doc Document
-	var c *Compiled
+	var c *CompiledDocument
 	err := settings.Read(schema(), data, &doc, func() settings.Problems {
 		var p settings.Problems
 		c, p = compile(doc)
@@ -162,8 +162,8 @@
 
 // compile indexes a document and returns the mistakes that the schema cannot express. The result
 // may be used only if there are none.
-func compile(doc Document) (*Compiled, settings.Problems) {
-	c := &Compiled{
+func compile(doc Document) (*CompiledDocument, settings.Problems) {
+	c := &CompiledDocument{
 		Document: doc, teams: make(map[string]*Team), kinds: make(map[kindKey]*CompiledKind),
 		services: make(map[string]bool), tokens: make(map[[sha256.Size]byte]Identity),
 	}
@@ -177,7 +177,7 @@
 	return c, p
 }
 
-func (c *Compiled) compileTeams(p *settings.Problems) {
+func (c *CompiledDocument) compileTeams(p *settings.Problems) {
 	for i := range c.Document.Teams {
 		team := &c.Document.Teams[i]
 		path := fmt.Sprintf("/teams/%d", i)
@@ -189,7 +189,7 @@
 	}
 }
 
-func (c *Compiled) compileOperators(p *settings.Problems) {
+func (c *CompiledDocument) compileOperators(p *settings.Problems) {
 	seen := make(map[string]bool)
 	for i, op := range c.Document.Operators {
 		path := fmt.Sprintf("/operators/%d", i)
@@ -201,7 +201,7 @@
 	}
 }
 
-func (c *Compiled) compileTokens(p *settings.Problems, path string, tokens []Credential, holder Identity) {
+func (c *CompiledDocument) compileTokens(p *settings.Problems, path string, tokens []Credential, holder Identity) {
 	for i, token := range tokens {
 		at := fmt.Sprintf("%s/tokens/%d", path, i)
 		var hash [sha256.Size]byte
@@ -224,7 +224,7 @@
 	}
 }
 
-func (c *Compiled) compileServices(p *settings.Problems) {
+func (c *CompiledDocument) compileServices(p *settings.Problems) {
 	for i, service := range c.Document.Services {
 		path := fmt.Sprintf("/services/%d", i)
 		if c.services[service.Name] {
@@ -240,7 +240,7 @@
 	}
 }
 
-func (c *Compiled) compileKind(p *settings.Problems, path string, service Service, kind Kind) {
+func (c *CompiledDocument) compileKind(p *settings.Problems, path string, service Service, kind Kind) {
 	key := kindKey{service.Name, kind.Name}
 	if c.kinds[key] != nil {
 		p.Add(path+"/name", kind.Name, "a name not used by another kind of the service")
@@ -271,16 +271,18 @@
 func ClassName(class uint8) string { return classNames[min(int(class), len(classNames)-1)] }
 
 // Team returns the team with a name, or nil if there is none.
-func (c *Compiled) Team(name string) *Team { return c.teams[name] }
+func (c *CompiledDocument) Team(name string) *Team { return c.teams[name] }
 
 // HasService reports whether there is a service with a name.
-func (c *Compiled) HasService(name string) bool { return c.services[name] }
+func (c *CompiledDocument) HasService(name string) bool { return c.services[name] }
 
 // Kind returns a kind of a service, or nil if there is none.
-func (c *Compiled) Kind(service, kind string) *CompiledKind { return c.kinds[kindKey{service, kind}] }
+func (c *CompiledDocument) Kind(service, kind string) *CompiledKind {
+	return c.kinds[kindKey{service, kind}]
+}
 
 // Retention returns how long the outcomes of submissions are available.
-func (c *Compiled) Retention() time.Duration {
+func (c *CompiledDocument) Retention() time.Duration {
 	if c.Document.Retention == 0 {
 		return DefaultRetention
 	}
@@ -290,7 +292,7 @@
 // Authenticate returns the holder of a bearer token, and false if the token is unknown or has
 // expired. It compares with all stored hashes in constant time, so that its duration tells nothing
 // about them.
-func (c *Compiled) Authenticate(token string, now time.Time) (Identity, bool) {
+func (c *CompiledDocument) Authenticate(token string, now time.Time) (Identity, bool) {
 	hash := sha256.Sum256([]byte(token))
 	var holder Identity
 	found := 0
@@ -317,8 +319,8 @@
 	// Number increases by one with each accepted change; the first is 1.
 	Number uint64 `json:"number"`
 	// Author is the name of the operator who made the change.
-	Author string    `json:"author"`
-	At     time.Time `json:"at"`
+	Author     string    `json:"author"`
+	AcceptedAt time.Time `json:"at"`
 	// Nonce identifies the change, so that a put that is repeated is not taken for a conflicting
 	// one.
 	Nonce    string          `json:"nonce"`
--- a/common/errkind/errkind.go
+++ b/common/errkind/errkind.go
@@ -45,11 +45,11 @@
 	NotRun Ran = iota
 	// DidRun means that the work ran and ended.
 	DidRun
-	// Unknown means that the work may have run, in part or in full.
-	Unknown
+	// MaybeRan means that the work may have run, in part or in full.
+	MaybeRan
 )
 
-var ranNames = [...]string{NotRun: "not-run", DidRun: "ran", Unknown: "unknown"}
+var ranNames = [...]string{NotRun: "not-run", DidRun: "ran", MaybeRan: "unknown"}
 
 // String returns the published name of r.
 func (r Ran) String() string { return ranNames[r] }
@@ -85,12 +85,12 @@
 	StoreUnavailable: {"store-unavailable", http.StatusServiceUnavailable, 7, NotRun, true, "The platform's table service does not answer"},
 	DeadlineTooShort: {"deadline-too-short", http.StatusGatewayTimeout, 8, NotRun, true, "The deadline passed or cannot be met"},
 	Draining:         {"draining", http.StatusServiceUnavailable, 7, NotRun, true, "This instance is shutting down"},
-	Canceled:         {"canceled", http.StatusConflict, 9, Unknown, false, "The job was canceled"},
+	Canceled:         {"canceled", http.StatusConflict, 9, MaybeRan, false, "The job was canceled"},
 	TaskFailed:       {"task-failed", http.StatusBadGateway, 10, DidRun, false, "A task ran and failed"},
-	FateUnknown:      {"fate-unknown", http.StatusBadGateway, 11, Unknown, false, "A task may have run; its result is lost"},
-	DeadlineExceeded: {"deadline-exceeded", http.StatusGatewayTimeout, 11, Unknown, false, "The deadline passed while work was in flight"},
+	FateUnknown:      {"fate-unknown", http.StatusBadGateway, 11, MaybeRan, false, "A task may have run; its result is lost"},
+	DeadlineExceeded: {"deadline-exceeded", http.StatusGatewayTimeout, 11, MaybeRan, false, "The deadline passed while work was in flight"},
 	Fenced:           {"fenced", http.StatusServiceUnavailable, 7, NotRun, true, "Another instance took the job over"},
-	Internal:         {"internal", http.StatusInternalServerError, 12, Unknown, false, "Internal error"},
+	Internal:         {"internal", http.StatusInternalServerError, 12, MaybeRan, false, "Internal error"},
 }
 
 // Of returns the properties of k; a value that is no kind has those of Internal.
--- a/common/label/label.go
+++ b/common/label/label.go
@@ -56,9 +56,9 @@
 	return true
 }
 
-// FailedTerm returns the first term that holds for none of sets, and true, or "" and false if each
+// UnmatchedTerm returns the first term that holds for none of sets, and true, or "" and false if each
 // term holds for at least one set. It tells a caller which term of a selector no worker meets.
-func (s Selector) FailedTerm(sets []Set) (string, bool) {
+func (s Selector) UnmatchedTerm(sets []Set) (string, bool) {
 	for i := range s.terms {
 		if !anyMatches(&s.terms[i], sets) {
 			return s.terms[i].String(), true
--- a/common/label/label_test.go
+++ b/common/label/label_test.go
@@ -45,7 +45,7 @@
 	is := is.New(t)
 	s, err := Parse("selector", "gpu,cores>64")
 	is.NoErr(err)
-	term, failed := s.FailedTerm([]Set{worker})
+	term, failed := s.UnmatchedTerm([]Set{worker})
 	is.True(failed)
 	is.Equal(term, "cores>64")
 }
--- a/common/table/table.go
+++ b/common/table/table.go
@@ -22,8 +22,8 @@
 	ErrNotFound = errors.New("not found")
 )
 
-// Any is the value of Op.IfVersion that makes an operation unconditional.
-const Any = ^uint64(0)
+// AnyVersion is the value of Op.IfVersion that makes an operation unconditional.
+const AnyVersion = ^uint64(0)
 
 // Row is a row of the table.
 type Row struct {
@@ -44,8 +44,8 @@
 	IfVersion uint64 `json:"ifVersion"`
 }
 
-// Commit is the result of a transaction.
-type Commit struct {
+// CommitResult is the result of a transaction.
+type CommitResult struct {
 	// Applied reports whether the operations took effect.
 	Applied bool `json:"applied"`
 	// Version is the new version of all rows that were written.
@@ -67,7 +67,7 @@
 type Table interface {
 	// Commit applies all operations or none. After an error other than ErrNotSent and ErrThrottled
 	// it is unknown whether the transaction took effect.
-	Commit(ctx context.Context, ops []Op) (Commit, error)
+	Commit(ctx context.Context, ops []Op) (CommitResult, error)
 	// Get returns the row with a key, or nil if there is none.
 	Get(ctx context.Context, key string) (*Row, error)
 	// List returns at most limit rows whose key has the prefix and is greater than after, in key
@@ -75,8 +75,8 @@
 	List(ctx context.Context, prefix, after string, limit int) ([]Row, error)
 }
 
-// Objects is the object store.
-type Objects interface {
+// ObjectStore is the object store.
+type ObjectStore interface {
 	// Put stores an object. A name is written only once.
 	Put(ctx context.Context, name string, data []byte) error
 	// Get returns the data of an object, or ErrNotFound.
@@ -90,10 +90,10 @@
 
 // Power states.
 const (
-	Awake   PowerState = "awake"
-	Waking  PowerState = "waking"
-	Asleep  PowerState = "asleep"
-	Unknown PowerState = "unknown"
+	PowerAwake   PowerState = "awake"
+	PowerWaking  PowerState = "waking"
+	PowerAsleep  PowerState = "asleep"
+	PowerUnknown PowerState = "unknown"
 )
 
 // Worker is a worker as the platform lists it.
@@ -105,14 +105,14 @@
 	MemoryMB   int               `json:"memoryMB"`
 	Labels     map[string]string `json:"labels"`
 	Power      PowerState        `json:"power"`
-	// Since is the time that has passed since the last change of the power state.
-	Since time.Duration `json:"since"`
+	// SincePowerChange is the time that has passed since the last change of the power state.
+	SincePowerChange time.Duration `json:"since"`
 	// Services are the names of the services whose backend servers start when the worker wakes.
 	Services []string `json:"services"`
 	// Slots is the total number of slots of these backend servers.
 	Slots int `json:"slots"`
-	// Usage is the CPU utilisation, 0 to 1, reported with a delay.
-	Usage float64 `json:"usage"`
+	// CPUUsage is the CPU utilisation, 0 to 1, reported with a delay.
+	CPUUsage float64 `json:"usage"`
 }
 
 // Workers lists the workers and controls their power.
--- a/core/agentcore/bench_test.go
+++ b/core/agentcore/bench_test.go
@@ -14,13 +14,13 @@
 	const submissions = 20000
 	for b.Loop() {
 		c := newCore(submissions, submissions)
-		c.settings.ResultBytes = 1 << 30
+		c.settings.MaxResultBytes = 1 << 30
 		c.LinkUp(start, 1, entryA)
 		before := heapBytes()
 		for i := range submissions {
 			id := fmt.Sprintf("c/team/key-%d", i)
 			c.Receive(start, 1, startBatch(id, 1, 0, 0))
-			c.Finished(start, ExecID{id, 0, 1}, Completion{Payload: make([]byte, 200)})
+			c.ExecutionFinished(start, ExecID{id, 0, 1}, Completion{Payload: make([]byte, 200)})
 		}
 		b.ReportMetric(float64(heapBytes()-before)/submissions, "B/kept-result")
 		for i := range submissions {
--- a/core/agentcore/core.go
+++ b/core/agentcore/core.go
@@ -13,7 +13,7 @@
 // that the task did not run at this incarnation of the agent. A Fence raises the epoch, withdraws
 // queued attempts of lower epochs and reports the attempts that have started. A result is retained
 // until the owner acknowledges that the outcome of the submission is recorded. From then on a
-// tombstone keeps the epoch for Settings.FenceMemory.
+// tombstone keeps the epoch for Settings.TombstoneRetention.
 //
 // # Edge cases
 //
@@ -43,15 +43,15 @@
 type Settings struct {
 	// Info is announced to entries.
 	Info wire.AgentInfo
-	// FenceMemory is how long the epoch of an ended submission is kept. It must exceed the longest
+	// TombstoneRetention is how long the epoch of an ended submission is kept. It must exceed the longest
 	// silence timeout of a link.
-	FenceMemory time.Duration
+	TombstoneRetention time.Duration
 	// ResultRetention is how long an unacknowledged result is retained after the last event of its
 	// submission.
 	ResultRetention time.Duration
-	// ResultBytes limits the payloads of retained results, in bytes. New tasks are refused while the
+	// MaxResultBytes limits the payloads of retained results, in bytes. New tasks are refused while the
 	// limit is exceeded.
-	ResultBytes int
+	MaxResultBytes int
 }
 
 // ExecID identifies one execution in the backend server: an attempt of a task.
@@ -87,8 +87,8 @@
 
 // Output is what the caller has to carry out after an event, each list in order.
 type Output struct {
-	Sends    []Send
-	Executes []Execution
+	Sends      []Send
+	Executions []Execution
 	// Stops are the executions to stop, since their results are no longer needed.
 	Stops []ExecID
 }
@@ -200,8 +200,8 @@
 	return c.flush()
 }
 
-// Finished handles the end of an execution and starts queued attempts in the slot.
-func (c *Core) Finished(now time.Time, id ExecID, done Completion) Output {
+// ExecutionFinished handles the end of an execution and starts queued attempts in the slot.
+func (c *Core) ExecutionFinished(now time.Time, id ExecID, done Completion) Output {
 	c.running--
 	if sub := c.submissions[id.Submission]; sub != nil {
 		if a := sub.attempts[id.Index]; a != nil && a.number == id.Attempt && a.phase == wire.Running {
@@ -243,9 +243,9 @@
 // isRefusing reports whether new work is refused: the agent drains or rests.
 func (c *Core) isRefusing() bool { return c.draining || !c.restUntil.IsZero() }
 
-// Idle reports whether no attempt is queued or running and no linked entry still has to acknowledge
+// IsIdle reports whether no attempt is queued or running and no linked entry still has to acknowledge
 // a result.
-func (c *Core) Idle() bool {
+func (c *Core) IsIdle() bool {
 	if c.running > 0 || c.queue.Len() > 0 {
 		return false
 	}
@@ -311,9 +311,9 @@
 	for i := range out.Sends {
 		msg := out.Sends[i].Msg
 		msg.Load = load
-		msg.Load.Mine = c.activeFor(out.Sends[i].Link)
+		msg.Load.OwnedByReceiver = c.activeFor(out.Sends[i].Link)
 		msg.ConfigVersion = c.configVersion
-		msg.Leaving = c.isRefusing()
+		msg.NotAccepting = c.isRefusing()
 	}
 	return out
 }
--- a/core/agentcore/core_test.go
+++ b/core/agentcore/core_test.go
@@ -18,8 +18,8 @@
 
 func newCore(slots, queue int) *Core {
 	return New(Settings{
-		Info:        wire.AgentInfo{ID: "a", Incarnation: 1, Slots: slots, Queue: queue},
-		FenceMemory: time.Minute, ResultRetention: time.Hour, ResultBytes: 1000,
+		Info:               wire.AgentInfo{ID: "a", Incarnation: 1, Slots: slots, Queue: queue},
+		TombstoneRetention: time.Minute, ResultRetention: time.Hour, MaxResultBytes: 1000,
 	})
 }
 
@@ -31,7 +31,7 @@
 func startBatch(sub string, epoch uint64, class uint8, indexes ...uint32) *wire.ToAgent {
 	b := &wire.StartBatch{Submission: sub, Epoch: epoch, Class: class, Remaining: time.Minute}
 	for _, i := range indexes {
-		b.Tasks = append(b.Tasks, wire.TaskStart{Index: i, Attempt: 1, Sum: wire.Sum(nil)})
+		b.Tasks = append(b.Tasks, wire.TaskStart{Index: i, Attempt: 1, Checksum: wire.Checksum(nil)})
 	}
 	return &wire.ToAgent{Starts: []*wire.StartBatch{b}}
 }
@@ -48,8 +48,8 @@
 	is := is.New(t)
 	c := newCore(2, 2)
 	c.LinkUp(start, 1, entryA)
-	is.Equal(len(c.Receive(start, 1, startBatch("s", 1, 0, 0)).Executes), 1)
-	is.Equal(len(c.Receive(start, 1, startBatch("s", 1, 0, 0)).Executes), 0)
+	is.Equal(len(c.Receive(start, 1, startBatch("s", 1, 0, 0)).Executions), 1)
+	is.Equal(len(c.Receive(start, 1, startBatch("s", 1, 0, 0)).Executions), 0)
 }
 
 func TestFenceWithdrawsQueuedAndReportsStarted(t *testing.T) {
@@ -71,7 +71,7 @@
 	is.Equal(refused[0].Kind, errkind.Fenced)
 	is.True(refused[0].NotRun)
 	// The result goes to the new owner.
-	out = c.Finished(start, ExecID{"s", 0, 1}, Completion{})
+	out = c.ExecutionFinished(start, ExecID{"s", 0, 1}, Completion{})
 	is.Equal(out.Sends[0].Link, LinkID(2))
 }
 
@@ -80,7 +80,7 @@
 	c := newCore(2, 2)
 	c.LinkUp(start, 1, entryA)
 	c.LinkUp(start, 2, entryA)
-	is.Equal(len(c.Receive(start, 1, startBatch("s", 1, 0, 0)).Executes), 0)
+	is.Equal(len(c.Receive(start, 1, startBatch("s", 1, 0, 0)).Executions), 0)
 }
 
 func TestTombstoneFencesUntilItExpires(t *testing.T) {
@@ -88,14 +88,14 @@
 	c := newCore(2, 2)
 	c.LinkUp(start, 1, entryA)
 	c.Receive(start, 1, startBatch("s", 1, 0, 0))
-	c.Finished(start, ExecID{"s", 0, 1}, Completion{Payload: []byte("result")})
+	c.ExecutionFinished(start, ExecID{"s", 0, 1}, Completion{Payload: []byte("result")})
 	c.Receive(start, 1, &wire.ToAgent{Acks: []wire.Ack{{Submission: "s", Epoch: 1}}})
 	_, retained := c.Retained()
 	is.Equal(retained, 0)
 	is.Equal(resultsOf(c.Receive(start, 1, startBatch("s", 1, 0, 0)))[0].Kind, errkind.Fenced)
 	// A voided submission may be claimed and sent again with the next epoch.
-	is.Equal(len(c.Receive(start, 1, startBatch("s", 2, 0, 0)).Executes), 1)
-	c.Finished(start, ExecID{"s", 0, 1}, Completion{})
+	is.Equal(len(c.Receive(start, 1, startBatch("s", 2, 0, 0)).Executions), 1)
+	c.ExecutionFinished(start, ExecID{"s", 0, 1}, Completion{})
 	c.Receive(start, 1, &wire.ToAgent{Acks: []wire.Ack{{Submission: "s", Epoch: 2}}})
 	c.Tick(start.Add(2 * time.Minute))
 	held, _ := c.Retained()
@@ -107,7 +107,7 @@
 	c := newCore(2, 2)
 	c.LinkUp(start, 1, entryA)
 	c.Receive(start, 1, startBatch("s", 1, 0, 0))
-	c.Finished(start, ExecID{"s", 0, 1}, Completion{})
+	c.ExecutionFinished(start, ExecID{"s", 0, 1}, Completion{})
 	c.Tick(start.Add(2 * time.Hour))
 	out := c.Receive(start, 1, &wire.ToAgent{Fences: []wire.Fence{{Submission: "s", Epoch: 2}}})
 	is.True(out.Sends[0].Msg.Fences[0].Partial)
@@ -121,7 +121,7 @@
 	refused := resultsOf(c.Receive(start, 1, startBatch("u", 1, 0, 0)))
 	is.Equal(len(refused), 1)
 	is.Equal(refused[0].Submission, "b")
-	is.Equal(c.Finished(start, ExecID{"b", 0, 1}, Completion{}).Executes[0].ID.Submission, "u")
+	is.Equal(c.ExecutionFinished(start, ExecID{"b", 0, 1}, Completion{}).Executions[0].ID.Submission, "u")
 }
 
 func TestNewWorkIsRefusedBeyondResultBytes(t *testing.T) {
@@ -129,7 +129,7 @@
 	c := newCore(2, 2)
 	c.LinkUp(start, 1, entryA)
 	c.Receive(start, 1, startBatch("s", 1, 0, 0))
-	c.Finished(start, ExecID{"s", 0, 1}, Completion{Payload: make([]byte, 2000)})
+	c.ExecutionFinished(start, ExecID{"s", 0, 1}, Completion{Payload: make([]byte, 2000)})
 	refused := resultsOf(c.Receive(start, 1, startBatch("t", 1, 0, 0)))
 	is.Equal(refused[0].Kind, errkind.Overloaded)
 	is.True(refused[0].NotRun)
@@ -140,11 +140,11 @@
 	c := newCore(1, 1)
 	c.LinkUp(start, 1, entryA)
 	out := c.Receive(start, 1, &wire.ToAgent{RestFor: time.Second})
-	is.True(out.Sends[0].Msg.Leaving)
+	is.True(out.Sends[0].Msg.NotAccepting)
 	is.Equal(resultsOf(c.Receive(start, 1, startBatch("s", 1, 0, 0)))[0].Kind, errkind.Draining)
 	out = c.Tick(start.Add(2 * time.Second))
-	is.True(!out.Sends[0].Msg.Leaving) // a rest ends without a further message
-	is.True(c.Drain(start).Sends[0].Msg.Leaving)
+	is.True(!out.Sends[0].Msg.NotAccepting) // a rest ends without a further message
+	is.True(c.Drain(start).Sends[0].Msg.NotAccepting)
 }
 
 // firstRunning returns the ID that sorts first as text, so that the choice does not depend on the
@@ -168,14 +168,14 @@
 	c := newCore(1, 2)
 	c.LinkUp(start, 1, entryA)
 	c.Receive(start, 1, startBatch("s", 1, 0, 0))
-	c.Finished(start, ExecID{"s", 0, 1}, Completion{Kind: errkind.TaskFailed})
+	c.ExecutionFinished(start, ExecID{"s", 0, 1}, Completion{Kind: errkind.TaskFailed})
 	c.Receive(start, 1, startBatch("t", 1, 0, 0)) // takes the slot
 	retry := startBatch("s", 1, 0, 0)
 	retry.Starts[0].Tasks[0].Attempt = 2
 	c.Receive(start, 1, retry)
 	c.Receive(start, 1, &wire.ToAgent{Cancels: []wire.Cancel{{Submission: "s", Epoch: 1}}})
-	c.Finished(start, ExecID{"t", 0, 1}, Completion{})
-	is.Equal(len(c.Receive(start, 1, startBatch("s", 1, 0, 0)).Executes), 0) // attempt 1 is a duplicate
+	c.ExecutionFinished(start, ExecID{"t", 0, 1}, Completion{})
+	is.Equal(len(c.Receive(start, 1, startBatch("s", 1, 0, 0)).Executions), 0) // attempt 1 is a duplicate
 }
 
 // TestMain fixes the seed of rapid, so that every run draws the same messages.
@@ -196,7 +196,7 @@
 		running := make(map[ExecID]bool)
 		ever := make(map[ExecID]bool)
 		handle := func(out Output) {
-			for _, e := range out.Executes {
+			for _, e := range out.Executions {
 				if ever[e.ID] {
 					t.Fatalf("%v executed twice", e.ID)
 				}
@@ -228,7 +228,7 @@
 			case 3:
 				if id, ok := firstRunning(running); ok {
 					delete(running, id)
-					handle(c.Finished(now, id, Completion{}))
+					handle(c.ExecutionFinished(now, id, Completion{}))
 				}
 			case 4:
 				handle(c.Receive(now, link, &wire.ToAgent{Cancels: []wire.Cancel{{Submission: sub, Epoch: epoch}}}))
--- a/core/agentcore/submission.go
+++ b/core/agentcore/submission.go
@@ -77,7 +77,7 @@
 		return errkind.Fenced, true
 	case c.isRefusing():
 		return errkind.Draining, true
-	case c.resultBytes > c.settings.ResultBytes:
+	case c.resultBytes > c.settings.MaxResultBytes:
 		return errkind.Overloaded, true
 	}
 	return errkind.OK, false
@@ -94,7 +94,7 @@
 			return
 		}
 	}
-	if wire.Sum(task.Payload) != task.Sum {
+	if wire.Checksum(task.Payload) != task.Checksum {
 		c.refuseTask(link, batch, task, errkind.Internal)
 		return
 	}
@@ -172,7 +172,7 @@
 			a.prev = nil
 		}
 		c.running++
-		c.out.Executes = append(c.out.Executes, Execution{
+		c.out.Executions = append(c.out.Executions, Execution{
 			ID:   ExecID{Submission: a.submissionName, Index: a.index, Attempt: a.number},
 			Kind: a.start.Kind, Payload: a.start.Payload, MaxRun: a.start.MaxRun,
 		})
@@ -187,7 +187,7 @@
 	a.phase = wire.Done
 	a.result = &wire.Result{
 		Submission: a.submissionName, Index: a.index, Attempt: a.number, Epoch: sub.epoch,
-		Kind: done.Kind, NotRun: done.NotRun, Payload: done.Payload, Sum: wire.Sum(done.Payload),
+		Kind: done.Kind, NotRun: done.NotRun, Payload: done.Payload, Checksum: wire.Checksum(done.Payload),
 		RunTime: done.RunTime, Waited: a.startedAt.Sub(a.queuedAt),
 	}
 	c.resultBytes += len(done.Payload)
@@ -231,7 +231,7 @@
 		}
 		sortTaskStates(reply.Tasks)
 	}
-	reply.Highest = sub.epoch
+	reply.HighestEpoch = sub.epoch
 	msg := c.messageFor(link)
 	msg.Fences = append(msg.Fences, reply)
 }
@@ -306,7 +306,7 @@
 func (c *Core) expire(now time.Time, id string, sub *submission) {
 	age := now.Sub(sub.lastEvent)
 	if sub.acked || len(sub.attempts) == 0 {
-		if age > c.settings.FenceMemory {
+		if age > c.settings.TombstoneRetention {
 			delete(c.submissions, id)
 		}
 		return
--- a/core/batch/admit.go
+++ b/core/batch/admit.go
@@ -36,7 +36,7 @@
 		return &refusal{errkind.Overloaded, c.noWorkerReason(j.queue.Service), retryDelay, c.isStartingUp(j.queue.Service)}
 	case expectedWait > slack:
 		return &refusal{errkind.Overloaded, "no room in time", retryDelay, true}
-	case c.settings.Policy.Has(policy.Yield) && c.losses.mustYield(c.now, j.queue):
+	case c.settings.Policy.Enabled(policy.Yield) && c.losses.mustYield(c.now, j.queue):
 		return &refusal{errkind.Overloaded, "gives way", retryDelay, true}
 	}
 	return nil
@@ -45,7 +45,7 @@
 // correctedWait returns the wait to expect for a predicted one, from the measured waits of earlier
 // runs.
 func (c *Core) correctedWait(predicted time.Duration) time.Duration {
-	if !c.settings.Policy.Has(policy.LearnedWaits) {
+	if !c.settings.Policy.Enabled(policy.LearnedWaits) {
 		return predicted
 	}
 	return c.waits.expect(predicted)
--- a/core/batch/agents.go
+++ b/core/batch/agents.go
@@ -46,7 +46,7 @@
 type inFlightStart struct {
 	// seq is the value of agent.startsSent after the start.
 	seq  uint64
-	need room.Room
+	need room.Resources
 }
 
 // lostAgent is an agent whose link broke.
@@ -62,14 +62,14 @@
 }
 
 // sharingEntries returns the number of entries that an agent works with, this one included.
-func (a *agent) sharingEntries() int { return max(a.load.Sharers, 1) }
+func (a *agent) sharingEntries() int { return max(a.load.SharingEntries, 1) }
 
 // freeResources returns the resources that an agent's worker probably has for a run with the given
 // slack: without the runs at the worker, starts in flight and waiting runs that go first.
-func (c *Core) freeResources(a *agent, slack time.Duration) room.Room {
+func (c *Core) freeResources(a *agent, slack time.Duration) room.Resources {
 	free := a.load.Free
 	band := runs.SlackBands
-	if c.settings.Policy.Has(policy.SlackBands) {
+	if c.settings.Policy.Enabled(policy.SlackBands) {
 		band = runs.SlackBand(slack)
 	}
 	for i, cpu := range a.load.Waiting {
@@ -78,7 +78,7 @@
 		}
 	}
 	for _, s := range a.inFlight {
-		free = free.Minus(s.need)
+		free = free.Sub(s.need)
 	}
 	return free
 }
@@ -93,12 +93,12 @@
 	shortDelay = 3 * time.Second
 )
 
-// Short reports whether so few agents work with this entry of their own choice that it has to ask
+// IsShortOfAgents reports whether so few agents work with this entry of their own choice that it has to ask
 // for all of them. In a deployment with many entries and few agents some entries would otherwise
 // have none, and their jobs would never run. The argument tells whether any other entry is in
 // contact with this one. An entry without such contact is cut off rather than short: its agents
 // come back by themselves.
-func (c *Core) Short(inContact bool) bool {
+func (c *Core) IsShortOfAgents(inContact bool) bool {
 	chosen := 0
 	for a := range c.agents.Values() {
 		if a.registered && !a.worker.OnDemand && !a.worker.Released {
@@ -137,7 +137,7 @@
 	if a.worker.Released {
 		reason = "works with other entries"
 	}
-	c.logDecision(Note{Event: "agent lost", Agent: a.worker.Agent, Worker: a.worker.ID, Reason: reason, Age: now.Sub(a.lastReceivedAt)})
+	c.logDecision(Decision{Event: "agent lost", Agent: a.worker.Agent, Worker: a.worker.ID, Reason: reason, Age: now.Sub(a.lastReceivedAt)})
 }
 
 // Receive handles a message of an agent.
@@ -165,7 +165,7 @@
 	for i := range msg.Ends {
 		c.receiveEnd(a, msg.Ends[i])
 	}
-	for _, end := range msg.Unowned {
+	for _, end := range msg.UnownedEnds {
 		c.receiveEnd(a, end)
 	}
 	if msg.Load != nil || msg.Worker != nil {
@@ -177,7 +177,7 @@
 func (a *agent) updateLoad(now time.Time, load *runs.Load) {
 	a.load = *load
 	a.loadAt = now
-	for len(a.inFlight) > 0 && a.inFlight[0].seq <= load.Seen {
+	for len(a.inFlight) > 0 && a.inFlight[0].seq <= load.StartsSeen {
 		a.inFlight = a.inFlight[1:]
 	}
 }
@@ -194,9 +194,9 @@
 	a.registered = true
 	c.markDirty(a)
 	c.closePreviousLinks(a)
-	a.out.Owned = []runs.Owned{}
+	a.out.Owned = []runs.OwnedRun{}
 	for _, t := range c.tasksPlacedAt(w.Agent) {
-		a.out.Owned = append(a.out.Owned, runs.Owned{Key: t.key(), Need: t.step.Need, Estimate: t.step.estimate, Durable: t.job.durable != nil})
+		a.out.Owned = append(a.out.Owned, runs.OwnedRun{Key: t.key(), Need: t.step.Need, Estimate: t.step.estimate, Durable: t.job.durable != nil})
 		t.link = a.link
 		a.runCount++
 		t.stopping, t.moving = false, false
@@ -212,7 +212,7 @@
 	for id, other := range c.agents.All() {
 		if other != a && other.registered && other.worker.Agent == a.worker.Agent {
 			c.agents.Delete(id)
-			c.out.Closes = append(c.out.Closes, id)
+			c.out.CloseLinks = append(c.out.CloseLinks, id)
 		}
 	}
 }
@@ -224,7 +224,7 @@
 	if previous.Agent != "" && previous.ID == current.ID && previous.Draining == current.Draining && previous.Released == current.Released {
 		return
 	}
-	n := Note{Event: "worker", Agent: current.Agent, Worker: current.ID, Reason: "usable"}
+	n := Decision{Event: "worker", Agent: current.Agent, Worker: current.ID, Reason: "usable"}
 	switch {
 	case current.ID == "" && previous.ID == "":
 		n.Reason = "none yet"
@@ -248,7 +248,7 @@
 		}
 		c.lostAgents.Delete(name)
 		for _, t := range c.tasksPlacedAt(name) {
-			c.handleEnd(t.worker, runs.End{Key: t.key(), How: runs.Gone})
+			c.handleEnd(t.worker, runs.End{Key: t.key(), Outcome: runs.OutcomeGone})
 		}
 	}
 }
@@ -304,9 +304,9 @@
 	if a.clock == 0 {
 		return // nothing may be sent before the agent's clock is known
 	}
-	interval := c.settings.IdleBeat
+	interval := c.settings.IdleHeartbeatInterval
 	if a.runCount > 0 {
-		interval = c.settings.Beat
+		interval = c.settings.HeartbeatInterval
 	}
 	if !a.dirty && c.now.Sub(a.lastSentAt) < interval {
 		return
--- a/core/batch/agents_test.go
+++ b/core/batch/agents_test.go
@@ -12,7 +12,7 @@
 	for now := h.now; now.Before(after(ms)); now = now.Add(heartbeatCheckInterval) {
 		h.Tick(now)
 		h.flush(now)
-		short = h.Short(true)
+		short = h.IsShortOfAgents(true)
 	}
 	return short
 }
@@ -23,11 +23,11 @@
 func TestShortIsDelayedAfterASuspensionOrLossOfContact(t *testing.T) {
 	h := newHarness(t, 0)
 	h.is.True(h.isShortAt(3200))
-	h.is.True(!h.Short(false)) // no other entry is in contact
+	h.is.True(!h.IsShortOfAgents(false)) // no other entry is in contact
 	h.is.True(!h.isShortAt(6100))
 	h.is.True(h.isShortAt(6400))
 	h.Tick(after(9000)) // a gap that counts as a suspension
-	h.is.True(!h.Short(true))
+	h.is.True(!h.IsShortOfAgents(true))
 }
 
 // TestShortCountsOnlyAgentsThatChoseTheEntry verifies that agents which connect only because they
--- a/core/batch/answer.go
+++ b/core/batch/answer.go
@@ -13,7 +13,7 @@
 		return
 	}
 	c.failDurable(j, kind)
-	c.logDecision(Note{Event: "give up", Job: j.name, Queue: j.queue.Name, Version: j.version, Reason: reason, Age: c.now.Sub(j.arrived), Deferred: j.wasDeferred})
+	c.logDecision(Decision{Event: "give up", Job: j.name, Queue: j.queue.Name, Version: j.version, Reason: reason, Age: c.now.Sub(j.arrived), Deferred: j.wasDeferred})
 	if kind != outOfTime || j.begun || !j.hasPlacedRun() {
 		c.answerRequests(j, c.reportedKind(j, kind))
 		c.stopJob(j)
--- a/core/batch/core.go
+++ b/core/batch/core.go
@@ -50,21 +50,21 @@
 	// WorkerLease is the longest time for which a worker continues its runs without contact to its
 	// agent, including all delays.
 	WorkerLease time.Duration
-	// Beat is the heartbeat interval on links to agents with runs, IdleBeat on other links.
-	Beat, IdleBeat time.Duration
-	// SilentAfter is the time without a message from an agent after which it gets no new runs.
-	SilentAfter time.Duration
-	// StallLimit is the gap between two events above which the entry is taken to have been
+	// HeartbeatInterval is the heartbeat interval on links to agents with runs, IdleBeat on other links.
+	HeartbeatInterval, IdleHeartbeatInterval time.Duration
+	// SilenceTimeout is the time without a message from an agent after which it gets no new runs.
+	SilenceTimeout time.Duration
+	// SuspensionThreshold is the gap between two events above which the entry is taken to have been
 	// suspended.
-	StallLimit time.Duration
-	// Settling is how long new jobs are refused after a suspension. Requests that are read in this
+	SuspensionThreshold time.Duration
+	// SettleTime is how long new jobs are refused after a suspension. Requests that are read in this
 	// time may have been sent long before.
-	Settling time.Duration
+	SettleTime time.Duration
 	// RemoteFactor is the factor on the run time of a task whose data is not in the worker's rack.
 	RemoteFactor float64
-	// CrossCost is the time that starting a task in another data centre and reporting its end takes
+	// CrossDataCentreCost is the time that starting a task in another data centre and reporting its end takes
 	// in addition.
-	CrossCost time.Duration
+	CrossDataCentreCost time.Duration
 	// Overhead is the part of the objective that messages and the worker's start-up of a run take.
 	Overhead time.Duration
 	// Policy selects the mechanisms in force. Production uses all of them.
@@ -79,8 +79,8 @@
 
 // Step is a group of identical tasks of a job.
 type Step struct {
-	Count int       `cbor:"1,keyasint"`
-	Need  room.Room `cbor:"2,keyasint"`
+	Count int            `cbor:"1,keyasint"`
+	Need  room.Resources `cbor:"2,keyasint"`
 	// Estimate is the declared run time of one task.
 	Estimate time.Duration `cbor:"3,keyasint"`
 	// After lists the indexes of the steps that must complete first.
@@ -128,40 +128,40 @@
 type Output struct {
 	Sends   []Send
 	Answers []Answer
-	// Closes lists links to close because the agent has opened another one.
-	Closes []LinkID
-	// Notes lists the decisions in order.
-	Notes []Note
+	// CloseLinks lists links to close because the agent has opened another one.
+	CloseLinks []LinkID
+	// Decisions lists the decisions in order.
+	Decisions []Decision
 	// Records are to be stored in this order.
 	Records []Record
 	// Disowned lists durable jobs that were given up because the entry's ownership of them is no
 	// longer confirmed.
 	Disowned []string
-	// Unowned lists held ends of jobs that are not here.
-	Unowned []Unowned
+	// UnownedEnds lists held ends of jobs that are not here.
+	UnownedEnds []UnownedEnd
 	// Suspects lists tasks suspected of crashing workers, to be sent to the other entries.
 	Suspects []runs.Suspect
 }
 
-// Note is one decision for the log and the metrics.
-type Note struct {
+// Decision is one decision for the log and the metrics.
+type Decision struct {
 	Event   string
 	Job     string
 	Queue   string
 	Version uint64
 	Key     runs.Key
 	// Agent is set where the decision is about a worker rather than a job.
-	Agent  string
-	Worker string
-	How    runs.How
-	Reason string
+	Agent   string
+	Worker  string
+	Outcome runs.Outcome
+	Reason  string
 	// Age is the age of the load report or the time that a run or job has taken. Expected is the
 	// expected time to the end and Wait the part of it before the start. Slack is how long the job
 	// could wait.
 	Age, Expected, Wait, Slack time.Duration
-	// Lost is the number of workers lost while they ran the task, Blamed the number of crashes
+	// LostWorkers is the number of workers lost while they ran the task, Blamed the number of crashes
 	// attributed to it.
-	Lost, Blamed int
+	LostWorkers, BlamedCrashes int
 	// Deferred is set at the end of a job that was deferred.
 	Deferred bool
 }
@@ -230,11 +230,11 @@
 	}
 }
 
-// Advance sets the current time before an event is handled. A gap above Settings.StallLimit is
+// Advance sets the current time before an event is handled. A gap above Settings.SuspensionThreshold is
 // handled as a suspension.
 func (c *Core) Advance(now time.Time) {
 	gap := now.Sub(c.now)
-	suspended := !c.now.IsZero() && gap > c.settings.StallLimit
+	suspended := !c.now.IsZero() && gap > c.settings.SuspensionThreshold
 	c.now = now
 	if c.startedAt.IsZero() {
 		c.startedAt = now
@@ -247,9 +247,9 @@
 
 // resume handles a suspension of the given length.
 func (c *Core) resume(gap time.Duration) {
-	c.settledAt = c.now.Add(c.settings.Settling)
+	c.settledAt = c.now.Add(c.settings.SettleTime)
 	c.enoughAgentsAt = c.now // agents have closed their links meanwhile and need time to reconnect
-	c.logDecision(Note{Event: "suspended", Age: gap})
+	c.logDecision(Decision{Event: "suspended", Age: gap})
 	if gap < c.settings.OwnerLease {
 		return
 	}
@@ -283,14 +283,14 @@
 	c.moveRuns()
 }
 
-// Jobs returns the number of requests that are not answered yet.
-func (c *Core) Jobs() int { return len(c.byRequest) }
+// OpenRequests returns the number of requests that are not answered yet.
+func (c *Core) OpenRequests() int { return len(c.byRequest) }
 
 // Workers returns the number of workers that can be given runs.
 func (c *Core) Workers() int {
 	n := 0
 	for a := range c.agents.Values() {
-		if a.isUsable(c.now, c.settings.SilentAfter) {
+		if a.isUsable(c.now, c.settings.SilenceTimeout) {
 			n++
 		}
 	}
@@ -298,4 +298,4 @@
 }
 
 // logDecision adds a decision to the output.
-func (c *Core) logDecision(n Note) { c.out.Notes = append(c.out.Notes, n) }
+func (c *Core) logDecision(n Decision) { c.out.Decisions = append(c.out.Decisions, n) }
--- a/core/batch/core_test.go
+++ b/core/batch/core_test.go
@@ -16,7 +16,7 @@
 
 var (
 	begin = time.Unix(1000, 0)
-	need  = room.Room{CPU: 1000, Memory: 10}
+	need  = room.Resources{CPU: 1000, Memory: 10}
 	queue = &catalog.Queue{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 1.6, Target: 60 * time.Millisecond}
 )
 
@@ -35,8 +35,8 @@
 func newHarness(t *testing.T, agents int) *harness {
 	h := &harness{is: is.New(t), Core: New(Settings{
 		DataCentre: "d", OwnerLease: 400 * time.Millisecond, WorkerLease: 900 * time.Millisecond,
-		Beat: 100 * time.Millisecond, IdleBeat: 500 * time.Millisecond, SilentAfter: time.Hour, StallLimit: 350 * time.Millisecond,
-		Settling: 100 * time.Millisecond, RemoteFactor: 1.5, CrossCost: 4 * time.Millisecond, Overhead: 10 * time.Millisecond,
+		HeartbeatInterval: 100 * time.Millisecond, IdleHeartbeatInterval: 500 * time.Millisecond, SilenceTimeout: time.Hour, SuspensionThreshold: 350 * time.Millisecond,
+		SettleTime: 100 * time.Millisecond, RemoteFactor: 1.5, CrossDataCentreCost: 4 * time.Millisecond, Overhead: 10 * time.Millisecond,
 	})}
 	for i := range agents {
 		h.LinkUp(begin, LinkID(i))
@@ -62,9 +62,9 @@
 		Clock: now.UnixNano(),
 		Worker: &runs.Worker{
 			ID: workerID(agent), Agent: fmt.Sprintf("a%d", agent), Service: "s", DataCentre: "d",
-			Capacity: room.Room{CPU: 4000, Memory: 1000},
+			Capacity: room.Resources{CPU: 4000, Memory: 1000},
 		},
-		Load: &runs.Load{Free: room.Room{CPU: 4000, Memory: 1000}, Slowness: 100, Seen: 1 << 40},
+		Load: &runs.Load{Free: room.Resources{CPU: 4000, Memory: 1000}, Slowness: 100, StartsSeen: 1 << 40},
 	}
 	if edit != nil {
 		edit(msg)
@@ -107,14 +107,14 @@
 }
 
 // reportEnd reports the end of a run of job 1.
-func (h *harness) reportEnd(now time.Time, agent int, index int, run uint32, how runs.How) Output {
+func (h *harness) reportEnd(now time.Time, agent int, index int, run uint32, how runs.Outcome) Output {
 	return h.reportEndWithReason(now, agent, index, run, how, runs.NoReason)
 }
 
 // reportEndWithReason reports the end of a run of job 1 with a reason.
-func (h *harness) reportEndWithReason(now time.Time, agent, index int, run uint32, how runs.How, reason runs.Reason) Output {
+func (h *harness) reportEndWithReason(now time.Time, agent, index int, run uint32, how runs.Outcome, reason runs.Reason) Output {
 	k := runs.Key{Task: fmt.Sprintf("%s.0.0.%d", jobName(1), index), Run: run}
-	h.Receive(now, LinkID(agent), &runs.ToEntry{Clock: now.UnixNano(), Ends: []runs.End{{Key: k, How: how, Reason: reason}}})
+	h.Receive(now, LinkID(agent), &runs.ToEntry{Clock: now.UnixNano(), Ends: []runs.End{{Key: k, Outcome: how, Reason: reason}}})
 	return h.flush(now)
 }
 
@@ -125,7 +125,7 @@
 	h.is.Equal(len(got[1]), 3)
 	for agent, starts := range got {
 		for _, s := range starts {
-			h.Receive(after(100), agent, &runs.ToEntry{Ends: []runs.End{{Key: s.Key, How: runs.Done, Ran: 100 * time.Millisecond}}})
+			h.Receive(after(100), agent, &runs.ToEntry{Ends: []runs.End{{Key: s.Key, Outcome: runs.OutcomeDone, Ran: 100 * time.Millisecond}}})
 		}
 	}
 	h.flush(after(100))
@@ -137,8 +137,8 @@
 	h := newHarness(t, 1)
 	h.settings.Policy = policyWithout(t, policy.Deferring)
 	h.receiveReport(begin, 0, func(m *runs.ToEntry) {
-		m.Load.Free = room.Room{Memory: 1000}
-		m.Load.Freeings = []runs.Freeing{{After: 200, CPU: 1000}}
+		m.Load.Free = room.Resources{Memory: 1000}
+		m.Load.ExpectedEnds = []runs.ExpectedEnd{{After: 200, CPU: 1000}}
 	})
 	out := h.submit(begin, 1, 1, 100*time.Millisecond) // its slack is 120 ms
 	h.is.Equal(len(out.Sends), 0)
@@ -147,8 +147,8 @@
 
 func TestUrgentJobOvertakesWaitingWorkWithMoreSlack(t *testing.T) {
 	busy := func(m *runs.ToEntry) {
-		m.Load.Free = room.Room{Memory: 1000}
-		m.Load.Freeings = []runs.Freeing{{After: 5, CPU: 1000}, {After: 100, CPU: 1000}, {After: 200, CPU: 1000}}
+		m.Load.Free = room.Resources{Memory: 1000}
+		m.Load.ExpectedEnds = []runs.ExpectedEnd{{After: 5, CPU: 1000}, {After: 100, CPU: 1000}, {After: 200, CPU: 1000}}
 		m.Load.Waiting = []int{0, 0, 0, 1000, 1000}
 	}
 	h := newHarness(t, 1)
@@ -166,16 +166,16 @@
 
 func TestRefusalRequiresProofThatNothingBegan(t *testing.T) {
 	for _, c := range []struct {
-		how  runs.How
+		how  runs.Outcome
 		want errkind.Kind
-	}{{runs.Refused, errkind.Overloaded}, {runs.Stopped, errkind.DeadlineExceeded}} {
+	}{{runs.OutcomeRefused, errkind.Overloaded}, {runs.OutcomeStopped, errkind.DeadlineExceeded}} {
 		h := newHarness(t, 1)
 		h.submit(begin, 1, 2, 100*time.Millisecond)
 		h.advanceTo(after(300))
-		h.reportEndWithReason(after(300), 0, 0, 1, runs.Refused, runs.Late)
+		h.reportEndWithReason(after(300), 0, 0, 1, runs.OutcomeRefused, runs.ReasonStartTimeout)
 		h.advanceTo(after(700))
-		out := h.reportEndWithReason(after(700), 0, 0, 2, runs.Refused, runs.Late) // three objectives have passed
-		h.is.Equal(len(h.answers), 0)                                              // the other run may have begun
+		out := h.reportEndWithReason(after(700), 0, 0, 2, runs.OutcomeRefused, runs.ReasonStartTimeout) // three objectives have passed
+		h.is.Equal(len(h.answers), 0)                                                                   // the other run may have begun
 		h.is.Equal(len(out.Sends[0].Msg.Stops), 1)
 		h.reportEnd(after(703), 0, 1, 1, c.how)
 		h.is.Equal(len(h.answers), 1)
@@ -235,7 +235,7 @@
 			agent = 1
 			onHealthy++
 		}
-		h.reportEnd(after(1+run), agent, 0, uint32(run), runs.Failed)
+		h.reportEnd(after(1+run), agent, 0, uint32(run), runs.OutcomeFailed)
 		h.is.Equal(len(h.answers) > 0, onHealthy == queue.MaxAttempts)
 	}
 	h.is.Equal(h.answers, []Answer{{Request: 1, Kind: errkind.TaskFailed}})
@@ -256,11 +256,11 @@
 func TestRunsAreStoppedWhenTheCallerDisconnects(t *testing.T) {
 	h := newHarness(t, 1)
 	h.submit(begin, 1, 2, 100*time.Millisecond)
-	h.Cancel(after(10), 1)
+	h.CancelRequest(after(10), 1)
 	out := h.flush(after(10))
 	h.is.Equal(len(out.Sends[0].Msg.Stops), 2)
-	h.reportEnd(after(20), 0, 0, 1, runs.Stopped)
-	h.reportEnd(after(20), 0, 1, 1, runs.Stopped)
+	h.reportEnd(after(20), 0, 0, 1, runs.OutcomeStopped)
+	h.reportEnd(after(20), 0, 1, 1, runs.OutcomeStopped)
 	h.is.Equal(h.jobs.Len(), 0)
 	h.is.Equal(len(h.answers), 0)
 }
@@ -268,13 +268,13 @@
 func TestResubmittedJobStartsOnlyAfterItsRunIsStopped(t *testing.T) {
 	h := newHarness(t, 2)
 	h.submit(begin, 1, 1, 100*time.Millisecond)
-	h.Cancel(after(10), 1)
+	h.CancelRequest(after(10), 1)
 	h.flush(after(10))
 	out := h.submit(after(11), 1, 1, 100*time.Millisecond)
 	h.is.Equal(len(startsByLink(out)[0])+len(startsByLink(out)[1]), 0)
-	out = h.reportEnd(after(60), 0, 0, 1, runs.Stopped)
+	out = h.reportEnd(after(60), 0, 0, 1, runs.OutcomeStopped)
 	if h.byTask[jobName(1)+".0.0.0"].run == 1 {
-		out = h.reportEnd(after(60), 1, 0, 1, runs.Stopped)
+		out = h.reportEnd(after(60), 1, 0, 1, runs.OutcomeStopped)
 	}
 	got := startsByLink(out)
 	all := append(got[0], got[1]...)
@@ -300,7 +300,7 @@
 	on, k := h.startOnSlowWorker()
 	h.Tick(after(120))
 	h.is.Equal(h.flush(after(120)).Sends[0].Msg.Moves, []runs.Key{k})
-	out := h.reportEnd(after(130), int(on), 0, 1, runs.Stopped)
+	out := h.reportEnd(after(130), int(on), 0, 1, runs.OutcomeStopped)
 	h.is.Equal(len(startsByLink(out)[on]), 0)
 }
 
@@ -322,12 +322,12 @@
 	out := h.submit(begin, 1, 1, 100*time.Millisecond)
 	k := out.Sends[0].Msg.Starts[0].Key
 	full := func(m *runs.ToEntry) {
-		m.Load.Free = room.Room{Memory: 1000}
-		m.Load.Freeings = []runs.Freeing{{After: 60, CPU: 4000}}
+		m.Load.Free = room.Resources{Memory: 1000}
+		m.Load.ExpectedEnds = []runs.ExpectedEnd{{After: 60, CPU: 4000}}
 	}
 	waits := func(m *runs.ToEntry) { full(m); m.Progress = []runs.Progress{{Key: k, Waiting: true}} }
 	h.LinkUp(after(1), 1)
-	h.receiveReport(after(1), 1, func(m *runs.ToEntry) { full(m); m.Load.Freeings[0].After = 10 })
+	h.receiveReport(after(1), 1, func(m *runs.ToEntry) { full(m); m.Load.ExpectedEnds[0].After = 10 })
 	h.receiveReport(after(2), 0, waits)
 	h.Tick(after(3))
 	h.is.Equal(countWithdraws(h.flush(after(3))), 0)
@@ -341,7 +341,7 @@
 func countWithdraws(out Output) int {
 	n := 0
 	for _, s := range out.Sends {
-		n += len(s.Msg.Withdraws)
+		n += len(s.Msg.WithdrawWaiting)
 	}
 	return n
 }
@@ -353,7 +353,7 @@
 		Steps: []Step{{Count: 1, Need: need, Estimate: time.Millisecond}, {Count: 1, Need: need, Estimate: time.Millisecond, After: []int{0}}},
 	})
 	h.is.Equal(len(startsByLink(h.flush(begin))[0]), 1)
-	out := h.reportEnd(after(5), 0, 0, 1, runs.Done)
+	out := h.reportEnd(after(5), 0, 0, 1, runs.OutcomeDone)
 	h.is.Equal(startsByLink(out)[0][0].Key.Task, jobName(1)+".0.1.0")
 }
 
@@ -397,12 +397,12 @@
 	on := out.Sends[0].Link
 	k := out.Sends[0].Msg.Starts[0].Key
 	for _, held := range []bool{false, true} {
-		h.Receive(after(10), 1-on, &runs.ToEntry{Clock: after(10).UnixNano(), Unowned: []runs.End{{Key: k, How: runs.Stopped, Held: held}}})
+		h.Receive(after(10), 1-on, &runs.ToEntry{Clock: after(10).UnixNano(), UnownedEnds: []runs.End{{Key: k, Outcome: runs.OutcomeStopped, NeedsAck: held}}})
 		out = h.flush(after(10))
 		h.is.Equal(len(startsByLink(out)[0])+len(startsByLink(out)[1]), 0) // a second run would execute beside the first
 	}
-	h.is.Equal(out.Sends[0].Msg.Noted, []runs.Key{k}) // the worker need not keep the end
-	h.reportEnd(after(20), int(on), 0, 1, runs.Done)
+	h.is.Equal(out.Sends[0].Msg.AckedEnds, []runs.Key{k}) // the worker need not keep the end
+	h.reportEnd(after(20), int(on), 0, 1, runs.OutcomeDone)
 	h.is.Equal(h.answers, []Answer{{Request: 1, Kind: errkind.OK}})
 }
 
@@ -413,6 +413,6 @@
 	_, k := h.startOnSlowWorker()
 	h.Tick(after(120))
 	h.is.Equal(h.flush(after(120)).Sends[0].Msg.Moves, []runs.Key{k})
-	h.Cancel(after(130), 1)
+	h.CancelRequest(after(130), 1)
 	h.is.Equal(h.flush(after(130)).Sends[0].Msg.Stops, []runs.Key{k})
 }
--- a/core/batch/crash.go
+++ b/core/batch/crash.go
@@ -94,7 +94,7 @@
 // addVanishedWorker adds a loss if an agent's worker has ended without draining before, whatever
 // ran on it.
 func (c *Core) addVanishedWorker(previous, current *runs.Worker) {
-	if previous.ID != "" && !previous.Draining && previous.Life() != current.Life() {
+	if previous.ID != "" && !previous.Draining && previous.Incarnation() != current.Incarnation() {
 		c.crashes.addLoss(c.now, "", previous.ID)
 	}
 }
@@ -154,12 +154,12 @@
 // reportLostWorker logs that a worker was lost while it ran a task, and adds the task of an awaited
 // job to the suspects unless the crash has a shared cause.
 func (c *Core) reportLostWorker(t *task, worker string, end runs.End) {
-	c.logDecision(Note{
+	c.logDecision(Decision{
 		Event: "worker lost", Job: t.job.name, Queue: t.job.queue.Name, Version: t.job.version, Key: end.Key, Worker: worker,
-		Reason: end.Reason.String(), Lost: t.lostWorkers, Blamed: t.blamedCrashes,
+		Reason: end.Reason.String(), LostWorkers: t.lostWorkers, BlamedCrashes: t.blamedCrashes,
 	})
 	if t.job.durable == nil && t.lostWorkers > 0 && c.crashes.countOtherLosses(c.now, t.job.name, sharedCrashWindow) < sharedCrashWorkers {
-		c.addSuspect(runs.Suspect{Task: t.name, Lost: t.lostWorkers, Blamed: t.blamedCrashes})
+		c.addSuspect(runs.Suspect{Task: t.name, LostWorkers: t.lostWorkers, BlamedCrashes: t.blamedCrashes})
 	}
 }
 
@@ -192,25 +192,25 @@
 }
 
 // isolation returns which other tasks a task may run beside.
-func (t *task) isolation() runs.Suspicion {
+func (t *task) isolation() runs.Isolation {
 	switch {
 	case t.lostWorkers+len(t.unreachableRuns) >= 2:
-		return runs.Alone
+		return runs.IsolationExclusive
 	case t.blamedCrashes > 0:
-		return runs.Apart
+		return runs.IsolationFromSuspects
 	}
-	return runs.Trusted
+	return runs.IsolationNone
 }
 
 // addSuspect stores a suspect and adds it to the output for the other entries. It reports whether
 // it contains anything new.
 func (c *Core) addSuspect(s runs.Suspect) bool {
 	old := c.crashes.suspects.Get(s.Task)
-	if old != nil && old.Lost >= s.Lost && old.Blamed >= s.Blamed {
+	if old != nil && old.LostWorkers >= s.LostWorkers && old.BlamedCrashes >= s.BlamedCrashes {
 		return false
 	}
 	if old != nil {
-		s.Lost, s.Blamed = max(s.Lost, old.Lost), max(s.Blamed, old.Blamed)
+		s.LostWorkers, s.BlamedCrashes = max(s.LostWorkers, old.LostWorkers), max(s.BlamedCrashes, old.BlamedCrashes)
 		c.crashes.suspects.Delete(s.Task)
 	}
 	c.crashes.suspects.Put(s.Task, &suspect{s, c.now})
@@ -219,8 +219,8 @@
 	return true
 }
 
-// Suspected reports whether workers are known to have been lost while they ran a task.
-func (c *Core) Suspected(name string) bool { return c.crashes.suspects.Has(name) }
+// IsSuspect reports whether workers are known to have been lost while they ran a task.
+func (c *Core) IsSuspect(name string) bool { return c.crashes.suspects.Has(name) }
 
 // forgetSuspects removes the oldest suspects beyond the bounds on number and age.
 func (c *Core) forgetSuspects() {
@@ -232,8 +232,8 @@
 	}
 }
 
-// LearnSuspects handles suspects received from other entries.
-func (c *Core) LearnSuspects(now time.Time, list []runs.Suspect) {
+// MergeSuspects handles suspects received from other entries.
+func (c *Core) MergeSuspects(now time.Time, list []runs.Suspect) {
 	c.Advance(now)
 	for _, s := range list {
 		if !c.addSuspect(s) {
@@ -248,7 +248,7 @@
 
 // mergeSuspect raises the counts of a task to those of a suspect.
 func (t *task) mergeSuspect(s runs.Suspect) {
-	t.lostWorkers, t.blamedCrashes = max(t.lostWorkers, s.Lost), max(t.blamedCrashes, s.Blamed)
+	t.lostWorkers, t.blamedCrashes = max(t.lostWorkers, s.LostWorkers), max(t.blamedCrashes, s.BlamedCrashes)
 }
 
 // applySuspects copies the known suspects to the tasks of a new job. It reports whether one of the
@@ -272,7 +272,7 @@
 // colocationCost returns the cost that the choice of a worker has for a suspect because of other
 // runs there.
 func (c *Core) colocationCost(a *agent, t *task) time.Duration {
-	if t.isolation() == runs.Trusted || a.worker.Capacity.CPU <= 0 {
+	if t.isolation() == runs.IsolationNone || a.worker.Capacity.CPU <= 0 {
 		return 0
 	}
 	used := a.worker.Capacity.CPU - max(a.load.Free.CPU, 0)
@@ -282,7 +282,7 @@
 // takesLastWorker reports whether a task that must run alone would use the last worker with free
 // resources for it. A crash there would leave none.
 func (c *Core) takesLastWorker(t *task) bool {
-	if t.isolation() != runs.Alone {
+	if t.isolation() != runs.IsolationExclusive {
 		return false
 	}
 	freeWorkers := 0
--- a/core/batch/crash_test.go
+++ b/core/batch/crash_test.go
@@ -12,7 +12,7 @@
 func (h *harness) reportLoss(ms, agent, id, index int, run uint32, reason runs.Reason, suspect bool) Output {
 	k := runs.Key{Task: fmt.Sprintf("%s.0.0.%d", jobName(id), index), Run: run}
 	h.Receive(after(ms), LinkID(agent), &runs.ToEntry{Clock: after(ms).UnixNano(), Ends: []runs.End{
-		{Key: k, How: runs.Stopped, Reason: reason, Suspect: suspect},
+		{Key: k, Outcome: runs.OutcomeStopped, Reason: reason, Suspect: suspect},
 	}})
 	return h.flush(after(ms))
 }
@@ -31,10 +31,10 @@
 func TestTaskIsGivenUpAfterTwoBlamedCrashes(t *testing.T) {
 	h := newHarness(t, 4)
 	at, s := h.onlyStart(h.submit(begin, 1, 1, after(0).Sub(begin)+100e6))
-	h.is.Equal(s.Suspicion, runs.Trusted)
-	at, s = h.onlyStart(h.reportLoss(20, at, 1, 0, s.Key.Run, runs.Crashed, true))
-	h.is.Equal(s.Suspicion, runs.Apart)
-	h.reportLoss(40, at, 1, 0, s.Key.Run, runs.Crashed, true)
+	h.is.Equal(s.Isolation, runs.IsolationNone)
+	at, s = h.onlyStart(h.reportLoss(20, at, 1, 0, s.Key.Run, runs.ReasonWorkerCrashed, true))
+	h.is.Equal(s.Isolation, runs.IsolationFromSuspects)
+	h.reportLoss(40, at, 1, 0, s.Key.Run, runs.ReasonWorkerCrashed, true)
 	h.is.Equal(len(h.answers), 1)
 	h.is.Equal(h.answers[0].Kind, errkind.TaskFailed)
 }
@@ -43,10 +43,10 @@
 	h := newHarness(t, 4)
 	at, s := h.onlyStart(h.submit(begin, 1, 1, 100e6))
 	for n := range 3 {
-		at, s = h.onlyStart(h.reportLoss(20+10*n, at, 1, 0, s.Key.Run, runs.Crashed, false))
+		at, s = h.onlyStart(h.reportLoss(20+10*n, at, 1, 0, s.Key.Run, runs.ReasonWorkerCrashed, false))
 	}
 	h.is.Equal(len(h.answers), 0)
-	h.is.Equal(s.Suspicion, runs.Alone) // so that the next loss shows the cause
+	h.is.Equal(s.Isolation, runs.IsolationExclusive) // so that the next loss shows the cause
 }
 
 // TestJobsDoNotFailForASharedCrash covers jobs that lose their workers at the same time, which has
@@ -64,7 +64,7 @@
 	}
 	for round := range 2 {
 		for i := range jobs {
-			at, s := h.onlyStart(h.reportLoss(100+200*round+i, jobs[i].at, i+1, 0, jobs[i].run, runs.Crashed, true))
+			at, s := h.onlyStart(h.reportLoss(100+200*round+i, jobs[i].at, i+1, 0, jobs[i].run, runs.ReasonWorkerCrashed, true))
 			jobs[i] = sent{at, s.Key.Run}
 		}
 	}
@@ -81,15 +81,15 @@
 func TestBlamedTaskIsKnownToOtherEntries(t *testing.T) {
 	h, other := newHarness(t, 4), newHarness(t, 4)
 	at, s := h.onlyStart(h.submit(begin, 1, 1, 100e6))
-	out := h.reportLoss(20, at, 1, 0, s.Key.Run, runs.Crashed, true)
-	h.is.Equal(out.Suspects, []runs.Suspect{{Task: s.Key.Task, Lost: 1, Blamed: 1}})
-	other.LearnSuspects(begin, out.Suspects)
+	out := h.reportLoss(20, at, 1, 0, s.Key.Run, runs.ReasonWorkerCrashed, true)
+	h.is.Equal(out.Suspects, []runs.Suspect{{Task: s.Key.Task, LostWorkers: 1, BlamedCrashes: 1}})
+	other.MergeSuspects(begin, out.Suspects)
 	other.is.Equal(other.flush(begin).Suspects, out.Suspects) // forwarded
-	other.LearnSuspects(begin, out.Suspects)
+	other.MergeSuspects(begin, out.Suspects)
 	other.is.Equal(len(other.flush(begin).Suspects), 0) // only once
 	at, s = other.onlyStart(other.submit(begin, 1, 1, 100e6))
-	other.is.Equal(s.Suspicion, runs.Apart)
-	other.reportLoss(20, at, 1, 0, s.Key.Run, runs.Crashed, true)
+	other.is.Equal(s.Isolation, runs.IsolationFromSuspects)
+	other.reportLoss(20, at, 1, 0, s.Key.Run, runs.ReasonWorkerCrashed, true)
 	other.is.Equal(other.answers[0].Kind, errkind.TaskFailed)
 	other.submit(after(50), 1, 1, 100e6) // the caller submits it again nevertheless
 	other.is.Equal(other.answers[1].Kind, errkind.TaskFailed)
@@ -99,9 +99,9 @@
 	h := newHarness(t, 1)
 	var list []runs.Suspect
 	for n := range 3 * maxSuspects {
-		list = append(list, runs.Suspect{Task: fmt.Sprint(n), Lost: 1, Blamed: 1})
+		list = append(list, runs.Suspect{Task: fmt.Sprint(n), LostWorkers: 1, BlamedCrashes: 1})
 	}
-	h.LearnSuspects(begin, list)
+	h.MergeSuspects(begin, list)
 	h.is.Equal(h.crashes.suspects.Len(), maxSuspects)
 }
 
@@ -110,13 +110,13 @@
 func TestCrashesOfADurableTaskAreRecorded(t *testing.T) {
 	h := newHarness(t, 4)
 	at, s := h.onlyStart(h.own(begin, 1, 1, nil))
-	out := h.reportLoss(20, at, 1, 0, s.Key.Run, runs.Crashed, true)
-	h.is.Equal(out.Records[0].Progress, []TaskProgress{{Abandoned: 1, Lost: 1, Blamed: 1}})
+	out := h.reportLoss(20, at, 1, 0, s.Key.Run, runs.ReasonWorkerCrashed, true)
+	h.is.Equal(out.Records[0].Progress, []TaskProgress{{Abandoned: 1, LostWorkers: 1, BlamedCrashes: 1}})
 
 	next := newHarness(t, 4)
-	at, s = next.onlyStart(next.own(begin, 1, 1, func(d *Durable) { d.Progress = out.Records[0].Progress }))
-	next.is.Equal(s.Suspicion, runs.Apart)
-	next.reportLoss(20, at, 1, 0, s.Key.Run, runs.Crashed, true)
+	at, s = next.onlyStart(next.own(begin, 1, 1, func(d *DurableJob) { d.Progress = out.Records[0].Progress }))
+	next.is.Equal(s.Isolation, runs.IsolationFromSuspects)
+	next.reportLoss(20, at, 1, 0, s.Key.Run, runs.ReasonWorkerCrashed, true)
 	state, _ := next.jobs.Get(jobName(1)).durable.state, true
 	next.is.Equal(state, JobFailed)
 }
@@ -129,22 +129,22 @@
 	at, s := h.onlyStart(h.own(begin, 1, 1, nil))
 	sent := []runs.Key{s.Key}
 	for n := range 3 {
-		h.reportLoss(20+50*n, at, 1, 0, s.Key.Run, runs.Lapsed, true)
-		h.Recorded(after(30+50*n), jobName(1), h.jobs.Get(jobName(1)).durable.seq)
+		h.reportLoss(20+50*n, at, 1, 0, s.Key.Run, runs.ReasonLeaseExpired, true)
+		h.RecordStored(after(30+50*n), jobName(1), h.jobs.Get(jobName(1)).durable.seq)
 		h.Tick(after(40 + 50*n))
 		at, s = h.onlyStart(h.flush(after(40 + 50*n)))
 		sent = append(sent, s.Key)
 	}
-	h.is.Equal(s.Suspicion, runs.Alone)
-	h.reportLoss(300, at, 1, 0, s.Key.Run, runs.Lapsed, true)
-	h.Recorded(after(310), jobName(1), h.jobs.Get(jobName(1)).durable.seq)
+	h.is.Equal(s.Isolation, runs.IsolationExclusive)
+	h.reportLoss(300, at, 1, 0, s.Key.Run, runs.ReasonLeaseExpired, true)
+	h.RecordStored(after(310), jobName(1), h.jobs.Get(jobName(1)).durable.seq)
 	h.Tick(after(320))
 	for _, list := range startsByLink(h.flush(after(320))) {
 		h.is.Equal(len(list), 0)
 	}
 	h.is.Equal(h.jobs.Get(jobName(1)).ended, false)
 	for _, k := range sent[:2] { // two have crashed after all
-		h.Receive(after(400), 0, &runs.ToEntry{Ends: []runs.End{{Key: k, How: runs.Gone, Reason: runs.Crashed, Suspect: true}}})
+		h.Receive(after(400), 0, &runs.ToEntry{Ends: []runs.End{{Key: k, Outcome: runs.OutcomeGone, Reason: runs.ReasonWorkerCrashed, Suspect: true}}})
 	}
 	h.is.Equal(h.jobs.Get(jobName(1)).durable.state, JobFailed)
 }
@@ -155,14 +155,14 @@
 	full := func(m *runs.ToEntry) { m.Load.Free.CPU = 0 }
 	h.receiveReport(after(5), (at+1)%3, full)
 	h.receiveReport(after(5), (at+2)%3, full)
-	h.reportLoss(20, at, 1, 0, s.Key.Run, runs.Crashed, false)
-	out := h.reportLoss(40, at, 1, 0, s.Key.Run+1, runs.Crashed, false)
+	h.reportLoss(20, at, 1, 0, s.Key.Run, runs.ReasonWorkerCrashed, false)
+	out := h.reportLoss(40, at, 1, 0, s.Key.Run+1, runs.ReasonWorkerCrashed, false)
 	for _, list := range startsByLink(out) {
 		h.is.Equal(len(list), 0)
 	}
 	h.receiveReport(after(60), (at+1)%3, nil)
 	_, s = h.onlyStart(h.flush(after(60)))
-	h.is.Equal(s.Suspicion, runs.Alone)
+	h.is.Equal(s.Isolation, runs.IsolationExclusive)
 }
 
 // TestCrashLimitRisesWithLossesOfOtherWorkers covers crashes that may be coincidence because other
@@ -176,7 +176,7 @@
 	}
 	for n := range lostWorkerLimit {
 		h.is.Equal(len(h.answers), 0)
-		out := h.reportLoss(20+30*n, at, 1, 0, s.Key.Run, runs.Crashed, true)
+		out := h.reportLoss(20+30*n, at, 1, 0, s.Key.Run, runs.ReasonWorkerCrashed, true)
 		if n < lostWorkerLimit-1 {
 			at, s = h.onlyStart(out)
 		}
--- a/core/batch/defer.go
+++ b/core/batch/defer.go
@@ -32,7 +32,7 @@
 
 // canDefer reports whether a job may be deferred instead of refused.
 func (c *Core) canDefer(j *job) bool {
-	if !c.settings.Policy.Has(policy.Deferring) || c.usefulSlack(j) <= 0 {
+	if !c.settings.Policy.Enabled(policy.Deferring) || c.usefulSlack(j) <= 0 {
 		return false
 	}
 	return c.isStartingUp(j.queue.Service) || float64(c.deferredWait(j)) < maxDeferredWaitShare*float64(c.usefulSlack(j))
@@ -66,7 +66,7 @@
 // deferJob adds a job to the deferred ones.
 func (c *Core) deferJob(j *job, p plan, reason string) {
 	c.losses.forQueue(c.now, j.queue).deferred++
-	c.logDecision(Note{
+	c.logDecision(Decision{
 		Event: "defer", Job: j.name, Queue: j.queue.Name, Version: j.version, Reason: reason, Wait: p.delay, Slack: p.slack,
 		Expected: c.deferredWait(j), Age: p.age,
 	})
--- a/core/batch/defer_test.go
+++ b/core/batch/defer_test.go
@@ -13,8 +13,8 @@
 // given time in ms.
 func busyFor(after, cpu int) func(*runs.ToEntry) {
 	return func(m *runs.ToEntry) {
-		m.Load.Free = room.Room{Memory: 1000}
-		m.Load.Freeings = []runs.Freeing{{After: after, CPU: cpu}}
+		m.Load.Free = room.Resources{Memory: 1000}
+		m.Load.ExpectedEnds = []runs.ExpectedEnd{{After: after, CPU: cpu}}
 	}
 }
 
@@ -24,7 +24,7 @@
 	out := h.submit(begin, 1, 2, 100*time.Millisecond) // its slack is 120 ms
 	h.is.Equal(len(out.Sends), 0)
 	h.is.Equal(len(h.answers), 0)
-	h.receiveReport(after(200), 0, func(m *runs.ToEntry) { m.Load.Free = room.Room{CPU: 1000, Memory: 1000} })
+	h.receiveReport(after(200), 0, func(m *runs.ToEntry) { m.Load.Free = room.Resources{CPU: 1000, Memory: 1000} })
 	h.is.Equal(len(startsByLink(h.flush(after(200)))[0]), 0) // the tasks do not start one by one
 	h.receiveReport(after(210), 0, nil)
 	starts := startsByLink(h.flush(after(210)))[0]
@@ -36,9 +36,9 @@
 	h := newHarness(t, 1)
 	h.receiveReport(begin, 0, busyFor(200, 1000))
 	h.submit(begin, 1, 2, 100*time.Millisecond)
-	h.receiveReport(after(200), 0, func(m *runs.ToEntry) { m.Load.Free = room.Room{CPU: 2100, Memory: 1000} })
+	h.receiveReport(after(200), 0, func(m *runs.ToEntry) { m.Load.Free = room.Resources{CPU: 2100, Memory: 1000} })
 	h.is.Equal(len(startsByLink(h.flush(after(200)))[0]), 0) // 100 would be left, but 5% are 200
-	h.receiveReport(after(210), 0, func(m *runs.ToEntry) { m.Load.Free = room.Room{CPU: 2200, Memory: 1000} })
+	h.receiveReport(after(210), 0, func(m *runs.ToEntry) { m.Load.Free = room.Resources{CPU: 2200, Memory: 1000} })
 	h.is.Equal(len(startsByLink(h.flush(after(210)))[0]), 2)
 }
 
@@ -90,7 +90,7 @@
 	h := newHarness(t, 1)
 	h.receiveReport(begin, 0, busyFor(200, 1000))
 	h.submit(begin, 1, 1, 100*time.Millisecond)
-	h.Cancel(after(50), 1)
+	h.CancelRequest(after(50), 1)
 	h.receiveReport(after(60), 0, nil)
 	h.is.Equal(len(startsByLink(h.flush(after(60)))[0]), 0)
 	h.is.Equal(h.deferred.Len(), 0)
@@ -117,9 +117,9 @@
 		h := newHarness(t, 1)
 		h.receiveReport(begin, 0, busyFor(200, 1000))
 		h.submit(begin, 1, 1, 100*time.Millisecond)
-		var last Note
+		var last Decision
 		remember := func(out Output) {
-			for _, n := range out.Notes {
+			for _, n := range out.Decisions {
 				if n.Event == "done" || n.Event == "give up" {
 					last = n
 				}
@@ -128,7 +128,7 @@
 		if kept {
 			h.receiveReport(after(100), 0, nil)
 			h.flush(after(100))
-			remember(h.reportEnd(after(200), 0, 0, 1, runs.Done))
+			remember(h.reportEnd(after(200), 0, 0, 1, runs.OutcomeDone))
 		}
 		for ms := 200; ms <= 600; ms += 50 {
 			h.Tick(after(ms))
--- a/core/batch/drains.go
+++ b/core/batch/drains.go
@@ -16,10 +16,10 @@
 // is far below the age of the view at which an agent asks the store itself.
 const drainsSendInterval = 500 * time.Millisecond
 
-// LearnDrains handles a view of the drained data centres.
-func (c *Core) LearnDrains(now time.Time, v runs.Drains) {
+// UpdateDrains handles a view of the drained data centres.
+func (c *Core) UpdateDrains(now time.Time, v runs.DrainView) {
 	c.Advance(now)
-	if !c.drains.Learn(now, v) {
+	if !c.drains.Update(now, v) {
 		return
 	}
 	for a := range c.agents.Values() {
@@ -51,7 +51,7 @@
 // hasUsableWorker reports whether some agent has a usable worker of a service, in any data centre.
 func (c *Core) hasUsableWorker(service string) bool {
 	for a := range c.agents.Values() {
-		if a.worker.Service == service && a.isUsable(c.now, c.settings.SilentAfter) {
+		if a.worker.Service == service && a.isUsable(c.now, c.settings.SilenceTimeout) {
 			return true
 		}
 	}
--- a/core/batch/drains_test.go
+++ b/core/batch/drains_test.go
@@ -17,17 +17,17 @@
 }
 
 // drainView returns a view of the given drained data centres.
-func drainView(version uint64, dataCentres ...string) runs.Drains {
-	return runs.Drains{Version: version, DataCentres: dataCentres}
+func drainView(version uint64, dataCentres ...string) runs.DrainView {
+	return runs.DrainView{Version: version, DataCentres: dataCentres}
 }
 
 func TestDrainedDataCentreGetsNoTask(t *testing.T) {
 	h := newHarness(t, 3)
 	h.setDataCentres("d", "d", "e")
-	h.LearnDrains(begin, drainView(5, "d"))
+	h.UpdateDrains(begin, drainView(5, "d"))
 	got := startsByLink(h.submit(begin, 1, 4, 100*time.Millisecond))
 	h.is.Equal(len(got[2]), 4)
-	h.LearnDrains(after(10), drainView(6))
+	h.UpdateDrains(after(10), drainView(6))
 	got = startsByLink(h.submit(after(10), 2, 4, 100*time.Millisecond))
 	h.is.Equal(len(got[2]), 0)
 }
@@ -37,7 +37,7 @@
 func TestDrainedCapacityDoesNotCount(t *testing.T) {
 	h := newHarness(t, 2)
 	h.setDataCentres("d", "e")
-	h.LearnDrains(begin, drainView(5, "d"))
+	h.UpdateDrains(begin, drainView(5, "d"))
 	h.submit(begin, 1, 4, 400*time.Millisecond)
 	h.is.Equal(len(h.answers), 0)
 	h.is.Equal(int(h.cpuShare("s")), 4000)
@@ -51,12 +51,12 @@
 func TestJobIsRefusedAtOnceIfAllDataCentresAreDrained(t *testing.T) {
 	h := newHarness(t, 2)
 	h.setDataCentres("d", "e")
-	h.LearnDrains(begin, drainView(5, "d", "e"))
+	h.UpdateDrains(begin, drainView(5, "d", "e"))
 	out := h.submit(begin, 1, 1, 100*time.Millisecond)
 	h.is.Equal(len(h.answers), 1)
 	h.is.Equal(h.answers[0].Kind, errkind.Overloaded)
 	h.is.True(h.answers[0].RetryAfter > 0)
-	h.is.Equal(out.Notes[len(out.Notes)-1].Reason, "data centres drained")
+	h.is.Equal(out.Decisions[len(out.Decisions)-1].Reason, "data centres drained")
 	h.is.Equal(h.Workers(), 2) // the entry keeps accepting connections
 }
 
@@ -70,8 +70,8 @@
 	if len(got[0]) == 0 {
 		from = 1
 	}
-	h.LearnDrains(after(5), drainView(5, []string{"d", "e"}[from]))
-	out := h.reportEndWithReason(after(10), int(from), 0, 1, runs.Refused, runs.Drained)
+	h.UpdateDrains(after(5), drainView(5, []string{"d", "e"}[from]))
+	out := h.reportEndWithReason(after(10), int(from), 0, 1, runs.OutcomeRefused, runs.ReasonDataCentreDrained)
 	h.is.Equal(len(startsByLink(out)[1-from]), 1)
 	h.is.Equal(h.byTask[startsByLink(out)[1-from][0].Key.Task].failures, 0)
 }
@@ -80,7 +80,7 @@
 // refuse starts.
 func TestDrainIsSentToAgentsAtOnceAndConfirmedPeriodically(t *testing.T) {
 	h := newHarness(t, 1)
-	h.LearnDrains(after(20), drainView(5, "x"))
+	h.UpdateDrains(after(20), drainView(5, "x"))
 	out := h.flush(after(20))
 	h.is.Equal(out.Sends[0].Msg.Drains.DataCentres, []string{"x"})
 	sent := 0
--- a/core/batch/durable.go
+++ b/core/batch/durable.go
@@ -7,8 +7,8 @@
 	"peridotpick.example/core/catalog"
 )
 
-// Durable is a job that the store keeps and this entry owns there.
-type Durable struct {
+// DurableJob is a job that the store keeps and this entry owns there.
+type DurableJob struct {
 	Job   string
 	Queue *catalog.Queue
 	// Version is the version of the configuration in force.
@@ -56,7 +56,7 @@
 	// disowned is set once this entry must not run the job.
 	disowned bool
 	// reacquired is the job to own again once all runs of the disowned one are over.
-	reacquired *Durable
+	reacquired *DurableJob
 	// forgetAt is when an ended job is forgotten.
 	forgetAt time.Time
 }
@@ -65,8 +65,8 @@
 // last ends in this time.
 const endedRetention = 30 * time.Second
 
-// Confirm sets the time until which the entry's ownership of its durable jobs is confirmed.
-func (c *Core) Confirm(until time.Time) {
+// ConfirmOwnership sets the time until which the entry's ownership of its durable jobs is confirmed.
+func (c *Core) ConfirmOwnership(until time.Time) {
 	if until.After(c.ownershipUntil) {
 		c.ownershipUntil = until
 	}
@@ -89,7 +89,7 @@
 
 // Own starts to run a durable job. If the job was disowned and still has runs, it starts once they
 // are over.
-func (c *Core) Own(now time.Time, d *Durable) {
+func (c *Core) Own(now time.Time, d *DurableJob) {
 	c.Advance(now)
 	if old := c.jobs.Get(d.Job); old != nil {
 		if old.durable != nil && old.durable.disowned {
@@ -114,7 +114,7 @@
 			t.takenOver = !d.SafeAt.IsZero()
 		}
 	}
-	c.logDecision(Note{Event: "own", Job: j.name, Queue: j.queue.Name, Version: j.version, Wait: max(d.SafeAt.Sub(now), 0)})
+	c.logDecision(Decision{Event: "own", Job: j.name, Queue: j.queue.Name, Version: j.version, Wait: max(d.SafeAt.Sub(now), 0)})
 	if j.openTasks == 0 {
 		c.finishDurable(j, JobDone)
 		return
@@ -132,21 +132,21 @@
 	if j == nil || j.durable == nil || j.durable.disowned {
 		return
 	}
-	c.logDecision(Note{Event: "disown", Job: j.name, Queue: j.queue.Name, Version: j.version})
+	c.logDecision(Decision{Event: "disown", Job: j.name, Queue: j.queue.Name, Version: j.version})
 	j.durable.disowned = true
 	j.durable.pendingAcks = nil
 	j.durable.forgetAt = now
 	c.stopJob(j)
 }
 
-// Cancelled stops a job that is cancelled in the store.
-func (c *Core) Cancelled(now time.Time, name string) {
+// CancelDurable stops a job that is cancelled in the store.
+func (c *Core) CancelDurable(now time.Time, name string) {
 	c.Advance(now)
 	j := c.jobs.Get(name)
 	if j == nil || j.durable == nil || j.durable.disowned || j.durable.state.Ended() {
 		return
 	}
-	c.logDecision(Note{Event: "cancelled", Job: j.name, Queue: j.queue.Name, Version: j.version})
+	c.logDecision(Decision{Event: "cancelled", Job: j.name, Queue: j.queue.Name, Version: j.version})
 	j.durable.state = JobCancelled
 	j.durable.storedSeq = j.durable.seq
 	j.durable.forgetAt = now.Add(endedRetention)
@@ -154,8 +154,8 @@
 	c.stopJob(j)
 }
 
-// State returns the state of a durable job. It reports false if the job is not owned here.
-func (c *Core) State(name string) (JobState, bool) {
+// DurableState returns the state of a durable job. It reports false if the job is not owned here.
+func (c *Core) DurableState(name string) (JobState, bool) {
 	j := c.jobs.Get(name)
 	if j == nil || j.durable == nil || j.durable.disowned {
 		return JobQueued, false
--- a/core/batch/durable_test.go
+++ b/core/batch/durable_test.go
@@ -11,20 +11,20 @@
 )
 
 // own gives the core a durable job of one step.
-func (h *harness) own(now time.Time, id, tasks int, edit func(*Durable)) Output {
-	d := &Durable{Job: jobName(id), Queue: queue, Spec: "x", Steps: []Step{{Count: tasks, Need: need, Estimate: 100 * time.Millisecond}}}
+func (h *harness) own(now time.Time, id, tasks int, edit func(*DurableJob)) Output {
+	d := &DurableJob{Job: jobName(id), Queue: queue, Spec: "x", Steps: []Step{{Count: tasks, Need: need, Estimate: 100 * time.Millisecond}}}
 	if edit != nil {
 		edit(d)
 	}
-	h.Confirm(now.Add(5 * time.Second))
+	h.ConfirmOwnership(now.Add(5 * time.Second))
 	h.Own(now, d)
 	return h.flush(now)
 }
 
 // reportHeldEnd reports the held end of a run.
-func (h *harness) reportHeldEnd(now time.Time, agent, id, index int, run uint32, how runs.How) Output {
+func (h *harness) reportHeldEnd(now time.Time, agent, id, index int, run uint32, how runs.Outcome) Output {
 	k := runs.Key{Task: fmt.Sprintf("%s.0.0.%d", jobName(id), index), Run: run}
-	h.Receive(now, LinkID(agent), &runs.ToEntry{Clock: now.UnixNano(), Ends: []runs.End{{Key: k, How: how, Held: true}}})
+	h.Receive(now, LinkID(agent), &runs.ToEntry{Clock: now.UnixNano(), Ends: []runs.End{{Key: k, Outcome: how, NeedsAck: true}}})
 	return h.flush(now)
 }
 
@@ -42,8 +42,8 @@
 // ackedAndVoidKeys returns the runs whose ends an output acknowledges or declares void.
 func ackedAndVoidKeys(out Output) (acked, void []runs.Key) {
 	for _, s := range out.Sends {
-		acked = append(acked, s.Msg.Noted...)
-		void = append(void, s.Msg.Void...)
+		acked = append(acked, s.Msg.AckedEnds...)
+		void = append(void, s.Msg.VoidEnds...)
 	}
 	return acked, void
 }
@@ -52,29 +52,29 @@
 	h := newHarness(t, 1)
 	starts := startsByLink(h.own(begin, 1, 1, nil))[0]
 	h.is.Equal(starts[0].Durable, true)
-	out := h.reportHeldEnd(after(100), 0, 1, 0, 1, runs.Done)
+	out := h.reportHeldEnd(after(100), 0, 1, 0, 1, runs.OutcomeDone)
 	h.is.Equal(out.Records, []Record{{Job: jobName(1), Seq: 1, State: JobDone, Progress: []TaskProgress{{Done: true, Run: 1}}}})
 	n, _ := ackedAndVoidKeys(out)
 	h.is.Equal(len(n), 0)
-	state, _ := h.State(jobName(1))
+	state, _ := h.DurableState(jobName(1))
 	h.is.Equal(state, JobRunning) // not shown as done before it is stored
-	h.Recorded(after(110), jobName(1), 1)
+	h.RecordStored(after(110), jobName(1), 1)
 	n, _ = ackedAndVoidKeys(h.flush(after(110)))
 	h.is.Equal(n, []runs.Key{starts[0].Key})
-	state, _ = h.State(jobName(1))
+	state, _ = h.DurableState(jobName(1))
 	h.is.Equal(state, JobDone)
 	// The agent's link broke before it received the acknowledgement: it reports the end again.
-	n, _ = ackedAndVoidKeys(h.reportHeldEnd(after(200), 0, 1, 0, 1, runs.Done))
+	n, _ = ackedAndVoidKeys(h.reportHeldEnd(after(200), 0, 1, 0, 1, runs.OutcomeDone))
 	h.is.Equal(len(n), 1)
 }
 
 func TestDurableJobSurvivesTheDisconnectOfItsCaller(t *testing.T) {
 	h := newHarness(t, 1)
 	h.own(begin, 1, 1, nil)
-	h.Cancel(after(10), 1) // requests of awaited jobs do not affect it
+	h.CancelRequest(after(10), 1) // requests of awaited jobs do not affect it
 	h.is.Equal(h.CancelJob(after(10), jobName(1)), false)
 	h.advanceTo(after(3000)) // neither does a deadline
-	state, here := h.State(jobName(1))
+	state, here := h.DurableState(jobName(1))
 	h.is.True(here)
 	h.is.Equal(state, JobRunning)
 }
@@ -90,17 +90,17 @@
 	h.advanceTo(after(1500)) // both leases have expired: the task starts on the other worker
 	h.LinkUp(after(1500), 7)
 	h.receiveReport(after(1500), 7, func(m *runs.ToEntry) { m.Worker.Agent = fmt.Sprintf("a%d", at) })
-	n, void := ackedAndVoidKeys(h.reportHeldEnd(after(1510), 7, 1, 0, 1, runs.Done))
+	n, void := ackedAndVoidKeys(h.reportHeldEnd(after(1510), 7, 1, 0, 1, runs.OutcomeDone))
 	h.is.Equal(len(n), 0)
 	h.is.Equal(len(void), 1)
 }
 
 func TestTakenOverJobWaitsForItsPreviousOwner(t *testing.T) {
 	h := newHarness(t, 1)
-	taken := func(d *Durable) { d.SafeAt = after(1000) }
+	taken := func(d *DurableJob) { d.SafeAt = after(1000) }
 	h.is.Equal(len(startsByLink(h.own(begin, 1, 2, taken))), 0)
 	// Ends are accepted at once, but nothing starts.
-	out := h.reportHeldEnd(after(500), 0, 1, 0, 3, runs.Done)
+	out := h.reportHeldEnd(after(500), 0, 1, 0, 3, runs.OutcomeDone)
 	h.is.Equal(len(startsByLink(out)[0]), 0)
 	var starts []runs.Start
 	for ms := 550; ms <= 1100; ms += 50 {
@@ -136,17 +136,17 @@
 	last := records[len(records)-1]
 	h.is.Equal(last.Progress, []TaskProgress{{Abandoned: 1}})
 	h.is.Equal(h.byTask[TaskName(jobName(1), 0, 0)].state, taskWaiting)
-	h.Recorded(after(1510), jobName(1), last.Seq)
+	h.RecordStored(after(1510), jobName(1), last.Seq)
 	h.is.Equal(len(startsByLink(h.flush(after(1510)))[LinkID(1-at)]), 1)
 }
 
 func TestEndOfAnAbandonedRunIsVoidAfterATakeover(t *testing.T) {
 	h := newHarness(t, 1)
-	h.own(begin, 1, 1, func(d *Durable) {
+	h.own(begin, 1, 1, func(d *DurableJob) {
 		d.SafeAt = after(1000)
 		d.Progress = []TaskProgress{{Abandoned: 2}}
 	})
-	n, void := ackedAndVoidKeys(h.reportHeldEnd(after(500), 0, 1, 0, 2, runs.Done))
+	n, void := ackedAndVoidKeys(h.reportHeldEnd(after(500), 0, 1, 0, 2, runs.OutcomeDone))
 	h.is.Equal(len(n), 0)
 	h.is.Equal(len(void), 1)
 }
@@ -154,12 +154,12 @@
 func TestJobIsDisownedWhenItsOwnershipIsNotConfirmed(t *testing.T) {
 	h := newHarness(t, 1)
 	starts := startsByLink(h.own(begin, 1, 1, nil))[0]
-	h.settings.StallLimit = time.Hour
+	h.settings.SuspensionThreshold = time.Hour
 	h.Tick(after(5100))
 	out := h.flush(after(5100))
 	h.is.Equal(out.Disowned, []string{jobName(1)})
 	h.is.Equal(out.Sends[0].Msg.Stops, []runs.Key{starts[0].Key})
-	out = h.reportHeldEnd(after(5150), 0, 1, 0, 1, runs.Stopped)
+	out = h.reportHeldEnd(after(5150), 0, 1, 0, 1, runs.OutcomeStopped)
 	n, void := ackedAndVoidKeys(out)
 	h.is.Equal(len(n)+len(void)+len(out.Records), 0) // left to the next owner
 }
@@ -167,9 +167,9 @@
 func TestCancelledJobStopsAndNeedsNoRecord(t *testing.T) {
 	h := newHarness(t, 1)
 	starts := startsByLink(h.own(begin, 1, 1, nil))[0]
-	h.Cancelled(after(10), jobName(1))
+	h.CancelDurable(after(10), jobName(1))
 	h.is.Equal(h.flush(after(10)).Sends[0].Msg.Stops, []runs.Key{starts[0].Key})
-	out := h.reportHeldEnd(after(50), 0, 1, 0, 1, runs.Stopped)
+	out := h.reportHeldEnd(after(50), 0, 1, 0, 1, runs.OutcomeStopped)
 	n, _ := ackedAndVoidKeys(out)
 	h.is.Equal(len(n), 1)
 	h.is.Equal(len(out.Records), 0)
@@ -178,17 +178,17 @@
 func TestDurableTaskFailsAfterMaxAttempts(t *testing.T) {
 	h := newHarness(t, 1)
 	h.own(begin, 1, 1, nil)
-	h.reportHeldEnd(after(50), 0, 1, 0, 1, runs.Failed)
+	h.reportHeldEnd(after(50), 0, 1, 0, 1, runs.OutcomeFailed)
 	h.receiveReport(after(60), 0, func(m *runs.ToEntry) { m.Load.FailStreak = 1 })
 	h.flush(after(60))
-	records := append(h.reportHeldEnd(after(150), 0, 1, 0, 2, runs.Failed).Records, h.collectRecords(after(160))...)
+	records := append(h.reportHeldEnd(after(150), 0, 1, 0, 2, runs.OutcomeFailed).Records, h.collectRecords(after(160))...)
 	h.is.Equal(records[len(records)-1].State, JobFailed)
 	h.is.Equal(records[len(records)-1].Progress[0].Failures, 2)
 }
 
 func TestProgressIsRestoredAfterATakeover(t *testing.T) {
 	h := newHarness(t, 1)
-	out := h.own(begin, 1, 3, func(d *Durable) {
+	out := h.own(begin, 1, 3, func(d *DurableJob) {
 		d.Progress = []TaskProgress{{Index: 0, Done: true, Run: 1}, {Index: 2, Failures: 1, Run: 4, Checkpoint: "c"}}
 	})
 	starts := startsByLink(out)[0]
@@ -196,17 +196,17 @@
 	h.is.Equal(starts[1].Checkpoint, "c")
 	h.is.Equal(starts[1].Key.Run, uint32(5))
 	// That end was counted before the takeover, so its agent may forget it.
-	n, _ := ackedAndVoidKeys(h.reportHeldEnd(after(10), 0, 1, 2, 4, runs.Failed))
+	n, _ := ackedAndVoidKeys(h.reportHeldEnd(after(10), 0, 1, 2, 4, runs.OutcomeFailed))
 	h.is.Equal(len(n), 1)
 }
 
 func TestStepsOfADurableJobRunInOrder(t *testing.T) {
 	h := newHarness(t, 1)
-	out := h.own(begin, 1, 1, func(d *Durable) {
+	out := h.own(begin, 1, 1, func(d *DurableJob) {
 		d.Steps = append(d.Steps, Step{Count: 1, Need: need, Estimate: time.Second, After: []int{0}})
 	})
 	h.is.Equal(len(startsByLink(out)[0]), 1)
-	out = h.reportHeldEnd(after(100), 0, 1, 0, 1, runs.Done)
+	out = h.reportHeldEnd(after(100), 0, 1, 0, 1, runs.OutcomeDone)
 	h.is.Equal(startsByLink(out)[0][0].Key.Task, TaskName(jobName(1), 1, 0))
 }
 
@@ -215,8 +215,8 @@
 func TestJobsInTimeGoBeforeLateOnes(t *testing.T) {
 	h := newHarness(t, 1)
 	full := func(m *runs.ToEntry) {
-		m.Load.Free = room.Room{Memory: 1000}
-		m.Load.Freeings = []runs.Freeing{{After: 5000, CPU: 4000}}
+		m.Load.Free = room.Resources{Memory: 1000}
+		m.Load.ExpectedEnds = []runs.ExpectedEnd{{After: 5000, CPU: 4000}}
 	}
 	h.receiveReport(begin, 0, full)
 	for id := 1; id <= 6; id++ {
@@ -241,11 +241,11 @@
 	urgent := &catalog.Queue{Name: "u", Service: "s", Priority: 0, MaxAttempts: 2, Stretch: 1.6, Target: time.Minute}
 	patient := &catalog.Queue{Name: "p", Service: "s", Priority: 2, MaxAttempts: 2, Stretch: 1.6, Target: time.Minute}
 	h.receiveReport(begin, 0, func(m *runs.ToEntry) {
-		m.Load.Free = room.Room{}
-		m.Load.Freeings = []runs.Freeing{{After: 900, CPU: 4000}}
+		m.Load.Free = room.Resources{}
+		m.Load.ExpectedEnds = []runs.ExpectedEnd{{After: 900, CPU: 4000}}
 	})
-	h.own(begin, 1, 4, func(d *Durable) { d.Queue = patient })
-	h.own(after(500), 2, 4, func(d *Durable) { d.Queue = urgent })
+	h.own(begin, 1, 4, func(d *DurableJob) { d.Queue = patient })
+	h.own(after(500), 2, 4, func(d *DurableJob) { d.Queue = urgent })
 	h.receiveReport(after(520), 0, nil)
 	for _, s := range startsByLink(h.flush(after(520)))[0] {
 		h.is.Equal(s.Key.Job(), jobName(2))
--- a/core/batch/ends.go
+++ b/core/batch/ends.go
@@ -8,7 +8,7 @@
 // handleEnd handles the end of a run on a worker.
 func (c *Core) handleEnd(worker string, end runs.End) {
 	t := c.byTask[end.Key.Task]
-	if t != nil && end.Reason == runs.Crashed && t.takeLateCrash(end.Key.Run) {
+	if t != nil && end.Reason == runs.ReasonWorkerCrashed && t.takeLateCrash(end.Key.Run) {
 		c.handleWorkerCrash(t, worker, end)
 		return
 	}
@@ -19,21 +19,21 @@
 	if a := c.agents.Get(t.link); a != nil {
 		a.runCount--
 	}
-	c.logDecision(Note{
+	c.logDecision(Decision{
 		Event: "end", Job: j.name, Queue: j.queue.Name, Version: j.version, Key: end.Key, Worker: worker,
-		How: end.How, Reason: end.Reason.String(), Age: c.now.Sub(t.sentAt), Expected: t.expected,
+		Outcome: end.Outcome, Reason: end.Reason.String(), Age: c.now.Sub(t.sentAt), Expected: t.expected,
 	})
-	if end.How != runs.Refused {
+	if end.Outcome != runs.OutcomeRefused {
 		j.begun = true
 	}
 	t.stopping, t.moving = false, false
 	t.slow = false
 	t.waitingReport = 0
-	if end.How == runs.Done {
+	if end.Outcome == runs.OutcomeDone {
 		c.completeTask(t, end)
 	} else {
 		t.state = taskWaiting
-		if j.durable != nil && !end.Held && end.How != runs.Refused && !j.ended {
+		if j.durable != nil && !end.NeedsAck && end.Outcome != runs.OutcomeRefused && !j.ended {
 			c.abandonRun(t, end.Key.Run)
 		}
 		c.handleUnsuccessfulRun(t, worker, end)
@@ -56,7 +56,7 @@
 		c.runTimes.observe(t.job.queue.Name, t.step.Estimate, end.Ran)
 	}
 	if t.job.openTasks == 0 && !t.job.ended {
-		c.logDecision(Note{Event: "done", Job: t.job.name, Queue: t.job.queue.Name, Version: t.job.version, Age: c.now.Sub(t.job.arrived), Expected: t.job.objective, Deferred: t.job.wasDeferred})
+		c.logDecision(Decision{Event: "done", Job: t.job.name, Queue: t.job.queue.Name, Version: t.job.version, Age: c.now.Sub(t.job.arrived), Expected: t.job.objective, Deferred: t.job.wasDeferred})
 		c.answerRequests(t.job, errkind.OK)
 		t.job.ended = true
 		if t.job.durable != nil {
@@ -68,20 +68,20 @@
 // handleUnsuccessfulRun handles a run that did not complete its task.
 func (c *Core) handleUnsuccessfulRun(t *task, worker string, end runs.End) {
 	switch end.Reason {
-	case runs.Crashed:
+	case runs.ReasonWorkerCrashed:
 		c.handleWorkerCrash(t, worker, end)
-	case runs.Lapsed:
+	case runs.ReasonLeaseExpired:
 		c.handleUnreachableWorker(t, worker, end)
 	}
-	switch end.How {
-	case runs.Failed:
+	switch end.Outcome {
+	case runs.OutcomeFailed:
 		c.countFailure(t, worker)
-	case runs.Refused:
+	case runs.OutcomeRefused:
 		if t.refusedBy == nil {
 			t.refusedBy = make(map[string]int)
 		}
 		t.refusedBy[worker]++
-		if end.Reason == runs.OldRun {
+		if end.Reason == runs.ReasonStaleRun {
 			t.run += runNumberGap
 		}
 	}
--- a/core/batch/health.go
+++ b/core/batch/health.go
@@ -18,7 +18,7 @@
 // or 1 if it is below slowThreshold.
 func (c *Core) relativeSlowness(a *agent) float64 {
 	slowness := float64(a.load.Slowness) / c.medianSlownessOf(a.worker.Service)
-	if slowness < slowThreshold || !c.settings.Policy.Has(policy.Pace) {
+	if slowness < slowThreshold || !c.settings.Policy.Enabled(policy.Pace) {
 		return 1
 	}
 	return slowness
@@ -67,10 +67,10 @@
 
 // isEjected reports whether an agent's worker is unhealthy and no probe is due.
 func (c *Core) isEjected(a *agent, planned *plannedLoad) bool {
-	if !c.isUnhealthy(a) || !c.settings.Policy.Has(policy.Probing) {
+	if !c.isUnhealthy(a) || !c.settings.Policy.Enabled(policy.Probing) {
 		return false
 	}
-	return c.now.Sub(a.probedAt) < time.Duration(a.sharingEntries())*probeInterval || planned.resources != (room.Room{})
+	return c.now.Sub(a.probedAt) < time.Duration(a.sharingEntries())*probeInterval || planned.resources != (room.Resources{})
 }
 
 // isFailing reports whether a worker fails what it runs.
--- a/core/batch/job.go
+++ b/core/batch/job.go
@@ -128,7 +128,7 @@
 		// Requests read right after a suspension may have been sent long before, by callers that
 		// have gone to another entry since.
 		c.refuse(r.ID, refusal{errkind.Draining, "settling", retryDelay, false})
-		c.logDecision(Note{Event: "refuse", Job: r.Job, Queue: r.Queue.Name, Version: r.Version, Reason: "settling"})
+		c.logDecision(Decision{Event: "refuse", Job: r.Job, Queue: r.Queue.Name, Version: r.Version, Reason: "settling"})
 		return
 	}
 	if old := c.jobs.Get(r.Job); old != nil && old.durable == nil {
@@ -138,7 +138,7 @@
 	j := c.newJob(r)
 	if c.applySuspects(j) {
 		c.out.Answers = append(c.out.Answers, Answer{Request: r.ID, Kind: errkind.TaskFailed})
-		c.logDecision(Note{Event: "give up", Job: j.name, Queue: j.queue.Name, Version: j.version, Reason: "its task crashes workers"})
+		c.logDecision(Decision{Event: "give up", Job: j.name, Queue: j.queue.Name, Version: j.version, Reason: "its task crashes workers"})
 		return
 	}
 	plan, refused := c.admit(j)
@@ -147,7 +147,7 @@
 	if refused != nil && !deferred {
 		c.losses.forQueue(c.now, j.queue).lost++
 		c.refuse(r.ID, *refused)
-		c.logDecision(Note{Event: "refuse", Job: j.name, Queue: j.queue.Name, Version: j.version, Reason: refused.reason, Wait: plan.delay, Slack: plan.slack, Expected: plan.finish, Age: plan.age})
+		c.logDecision(Decision{Event: "refuse", Job: j.name, Queue: j.queue.Name, Version: j.version, Reason: refused.reason, Wait: plan.delay, Slack: plan.slack, Expected: plan.finish, Age: plan.age})
 		return
 	}
 	c.jobs.Put(j.name, j)
@@ -161,7 +161,7 @@
 		c.deferJob(j, plan, refused.reason)
 		return
 	}
-	c.logDecision(Note{Event: "admit", Job: j.name, Queue: j.queue.Name, Version: j.version, Wait: plan.delay, Slack: plan.slack, Expected: plan.finish, Age: plan.age})
+	c.logDecision(Decision{Event: "admit", Job: j.name, Queue: j.queue.Name, Version: j.version, Wait: plan.delay, Slack: plan.slack, Expected: plan.finish, Age: plan.age})
 	c.startedWorkOf(j.queue.Service).immediate.add(c.now, j.openWork())
 	c.startPlan(plan)
 }
@@ -178,7 +178,7 @@
 		j.arrived = c.now
 		j.pastObjective = false
 	}
-	c.logDecision(Note{Event: "attach", Job: j.name, Queue: j.queue.Name, Version: j.version})
+	c.logDecision(Decision{Event: "attach", Job: j.name, Queue: j.queue.Name, Version: j.version})
 	c.placeJob(j)
 }
 
@@ -192,7 +192,7 @@
 		s := &j.steps[i]
 		s.Step = r.Steps[i]
 		s.estimate = s.Estimate
-		if c.settings.Policy.Has(policy.LearnedRunTimes) {
+		if c.settings.Policy.Enabled(policy.LearnedRunTimes) {
 			s.estimate = c.runTimes.expect(j.queue.Name, s.Estimate)
 		}
 		s.openTasks = s.Count
@@ -246,8 +246,8 @@
 	return true
 }
 
-// Cancel handles that the caller of a request has disconnected.
-func (c *Core) Cancel(now time.Time, id RequestID) {
+// CancelRequest handles that the caller of a request has disconnected.
+func (c *Core) CancelRequest(now time.Time, id RequestID) {
 	c.Advance(now)
 	j := c.byRequest[id]
 	if j == nil {
@@ -261,7 +261,7 @@
 		}
 	}
 	if len(j.requests) == 0 {
-		c.logDecision(Note{Event: "caller gone", Job: j.name, Queue: j.queue.Name, Version: j.version})
+		c.logDecision(Decision{Event: "caller gone", Job: j.name, Queue: j.queue.Name, Version: j.version})
 		c.stopJob(j)
 	}
 }
--- a/core/batch/move.go
+++ b/core/batch/move.go
@@ -45,7 +45,7 @@
 	if !found || remainingElsewhere+moveOverhead+t.step.estimate/moveGainDivisor > remainingHere {
 		return
 	}
-	c.logDecision(Note{
+	c.logDecision(Decision{
 		Event: "move", Job: t.job.name, Queue: t.job.queue.Name, Version: t.job.version, Key: t.key(), Worker: t.worker,
 		Expected: remainingHere, Age: c.now.Sub(from.loadAt),
 	})
@@ -56,16 +56,16 @@
 		return
 	}
 	t.withdrawnAt = c.now
-	from.out.Withdraws = append(from.out.Withdraws, t.key())
+	from.out.WithdrawWaiting = append(from.out.WithdrawWaiting, t.key())
 	c.markDirty(from)
 }
 
 // isMoveEnabled reports whether the policy allows moving waiting runs or slow ones, respectively.
 func (c *Core) isMoveEnabled(isWaiting bool) bool {
 	if isWaiting {
-		return c.settings.Policy.Has(policy.Withdrawing)
+		return c.settings.Policy.Enabled(policy.Withdrawing)
 	}
-	return c.settings.Policy.Has(policy.Restarting)
+	return c.settings.Policy.Enabled(policy.Restarting)
 }
 
 const (
--- a/core/batch/place.go
+++ b/core/batch/place.go
@@ -35,14 +35,14 @@
 
 // plannedLoad is what the current plan has assigned to an agent so far.
 type plannedLoad struct {
-	resources room.Room
+	resources room.Resources
 	// tasksByStep counts the assigned tasks of steps with an AntiAffinity limit.
 	tasksByStep map[*step]int
 }
 
 // add adds a task of a step.
 func (l *plannedLoad) add(s *step) {
-	l.resources = l.resources.Plus(s.Need)
+	l.resources = l.resources.Add(s.Need)
 	if s.AntiAffinity == 0 {
 		return
 	}
@@ -98,7 +98,7 @@
 
 func (c *Core) appendCandidates(list []*agent, service string) []*agent {
 	for a := range c.agents.Values() {
-		if a.worker.Service == service && a.isUsable(c.now, c.settings.SilentAfter) && !c.drains.Has(a.worker.DataCentre) {
+		if a.worker.Service == service && a.isUsable(c.now, c.settings.SilenceTimeout) && !c.drains.IsDrained(a.worker.DataCentre) {
 			list = append(list, a)
 		}
 	}
@@ -129,7 +129,7 @@
 		if !c.isAllowed(t, a, planned) {
 			continue
 		}
-		free := c.freeResources(a, p.slack).Minus(planned.resources)
+		free := c.freeResources(a, p.slack).Sub(planned.resources)
 		wait := c.waitFor(a, free, t.step.Need)
 		run := c.runTime(a, t)
 		cost := c.cost(a, t, wait, run)
@@ -153,7 +153,7 @@
 // factor of two. Otherwise all entries would choose the same worker until they see the effect of
 // each other's choices.
 func (c *Core) jitterCPU(cpu int) int {
-	if !c.settings.Policy.Has(policy.Spread) {
+	if !c.settings.Policy.Enabled(policy.Spread) {
 		return cpu
 	}
 	return cpu * (jitterSteps + c.rand.IntN(jitterSteps)) / jitterSteps
@@ -189,14 +189,14 @@
 }
 
 // waitFor returns the expected time until an agent's worker has free resources for a task.
-func (c *Core) waitFor(a *agent, free room.Room, need room.Room) time.Duration {
+func (c *Core) waitFor(a *agent, free room.Resources, need room.Resources) time.Duration {
 	if free.Fits(need) {
 		return 0
 	}
 	age := c.now.Sub(a.loadAt)
 	cpu := free.CPU
 	last := time.Duration(0)
-	for _, f := range a.load.Freeings {
+	for _, f := range a.load.ExpectedEnds {
 		last = max(time.Duration(f.After)*time.Millisecond-age, minResourceWait)
 		cpu += f.CPU
 		if cpu >= need.CPU {
@@ -232,12 +232,12 @@
 func (c *Core) cost(a *agent, t *task, wait, run time.Duration) time.Duration {
 	cost := c.correctedWait(wait) + run + c.colocationCost(a, t)
 	if a.worker.DataCentre != c.settings.DataCentre {
-		cost += c.settings.CrossCost
+		cost += c.settings.CrossDataCentreCost
 	}
 	if t.failedOn[a.worker.ID] > 0 {
 		cost += earlierFailureCost
 	}
-	if c.settings.Policy.Has(policy.RefusedBefore) {
+	if c.settings.Policy.Enabled(policy.RefusedBefore) {
 		cost += time.Duration(t.refusedBy[a.worker.ID]) * earlierRefusalCost
 	}
 	return cost
@@ -280,11 +280,11 @@
 	}
 	a.out.Starts = append(a.out.Starts, runs.Start{
 		Key: t.key(), Spec: j.spec, Need: t.step.Need, Estimate: t.step.estimate,
-		Slack: j.slackLeft(c.now), Patience: c.startTimeout(j), Checkpoint: t.checkpoint, Durable: j.durable != nil,
-		Suspicion: t.isolation(),
+		Slack: j.slackLeft(c.now), StartTimeout: c.startTimeout(j), Checkpoint: t.checkpoint, Durable: j.durable != nil,
+		Isolation: t.isolation(),
 	})
 	c.markDirty(a)
-	c.logDecision(Note{
+	c.logDecision(Decision{
 		Event: "start", Job: j.name, Queue: j.queue.Name, Version: j.version, Key: t.key(), Worker: a.worker.ID,
 		Age: c.now.Sub(a.loadAt), Expected: t.expected, Wait: pl.wait, Slack: j.slackLeft(c.now),
 	})
--- a/core/batch/record.go
+++ b/core/batch/record.go
@@ -19,13 +19,13 @@
 	Abandoned uint32 `cbor:"7,keyasint,omitempty"`
 	// Checkpoint is where the next run resumes.
 	Checkpoint string `cbor:"6,keyasint,omitempty"`
-	// Lost is the number of workers lost while they ran the task, Blamed the number of crashes
+	// LostWorkers is the number of workers lost while they ran the task, Blamed the number of crashes
 	// attributed to it.
-	Lost   int `cbor:"8,keyasint,omitempty"`
-	Blamed int `cbor:"9,keyasint,omitempty"`
-	// Lapsed is the number of workers that became unreachable while they ran the task and may have
+	LostWorkers   int `cbor:"8,keyasint,omitempty"`
+	BlamedCrashes int `cbor:"9,keyasint,omitempty"`
+	// UnreachableWorkers is the number of workers that became unreachable while they ran the task and may have
 	// crashed.
-	Lapsed int `cbor:"10,keyasint,omitempty"`
+	UnreachableWorkers int `cbor:"10,keyasint,omitempty"`
 }
 
 // Record is the progress of a job to be stored.
@@ -37,9 +37,9 @@
 	Progress []TaskProgress
 }
 
-// Unowned is a held end of a job that is not here. The owner of the list of durable jobs decides
+// UnownedEnd is a held end of a job that is not here. The owner of the list of durable jobs decides
 // whether the agent may forget it.
-type Unowned struct {
+type UnownedEnd struct {
 	Link LinkID
 	End  runs.End
 }
@@ -70,8 +70,8 @@
 	t := s.tasks[p.Index]
 	t.failures, t.run, t.newestHandledRun, t.checkpoint = p.Failures, p.Run, p.Run, p.Checkpoint
 	t.abandonedRun = p.Abandoned
-	t.lostWorkers, t.blamedCrashes = p.Lost, p.Blamed
-	t.restoreUnreachableRuns(now, p.Lapsed)
+	t.lostWorkers, t.blamedCrashes = p.LostWorkers, p.BlamedCrashes
+	t.restoreUnreachableRuns(now, p.UnreachableWorkers)
 	if p.Run > 0 {
 		t.handledRuns = map[uint32]bool{p.Run: true}
 	}
@@ -93,7 +93,7 @@
 			}
 			p := TaskProgress{
 				Step: i, Index: n, Done: t.state == taskDone, Failures: t.failures, Run: t.newestHandledRun, Abandoned: t.abandonedRun,
-				Lost: t.lostWorkers, Blamed: t.blamedCrashes, Lapsed: len(t.unreachableRuns),
+				LostWorkers: t.lostWorkers, BlamedCrashes: t.blamedCrashes, UnreachableWorkers: len(t.unreachableRuns),
 			}
 			if !p.Done {
 				p.Checkpoint = t.checkpoint
@@ -138,8 +138,8 @@
 	}
 }
 
-// Recorded handles that a record is stored.
-func (c *Core) Recorded(now time.Time, name string, seq uint64) {
+// RecordStored handles that a record is stored.
+func (c *Core) RecordStored(now time.Time, name string, seq uint64) {
 	c.Advance(now)
 	j := c.jobs.Get(name)
 	if j == nil || j.durable == nil || j.durable.disowned {
@@ -176,19 +176,19 @@
 
 // ackEnds tells an agent that the ends of runs are stored.
 func (c *Core) ackEnds(a *agent, keys ...runs.Key) {
-	a.out.Noted = append(a.out.Noted, keys...)
+	a.out.AckedEnds = append(a.out.AckedEnds, keys...)
 	c.markDirty(a)
 }
 
-// Settle acknowledges ends of jobs that are not here to an agent, or tells it that they are void.
-func (c *Core) Settle(now time.Time, id LinkID, acknowledged, void []runs.Key) {
+// ResolveEnds acknowledges ends of jobs that are not here to an agent, or tells it that they are void.
+func (c *Core) ResolveEnds(now time.Time, id LinkID, acknowledged, void []runs.Key) {
 	c.Advance(now)
 	a := c.agents.Get(id)
 	if a == nil {
 		return
 	}
 	c.ackEnds(a, acknowledged...)
-	a.out.Void = append(a.out.Void, void...)
+	a.out.VoidEnds = append(a.out.VoidEnds, void...)
 }
 
 // receiveEnd handles an end reported by an agent.
@@ -199,13 +199,13 @@
 		// The run belongs to another entry, or a previous process of this one, that had the same
 		// job. Each numbers the runs from 1. If the end were taken for that of the current run, the
 		// task would start a second time beside it.
-		if end.Held {
+		if end.NeedsAck {
 			c.ackEnds(a, end.Key)
 		}
-	case !end.Held:
+	case !end.NeedsAck:
 		c.handleEnd(a.worker.ID, end)
 	case t == nil:
-		c.out.Unowned = append(c.out.Unowned, Unowned{Link: a.link, End: end})
+		c.out.UnownedEnds = append(c.out.UnownedEnds, UnownedEnd{Link: a.link, End: end})
 	case t.job.durable == nil:
 		c.handleEnd(a.worker.ID, end)
 		c.ackEnds(a, end.Key)
@@ -232,8 +232,8 @@
 		return
 	case hasNoLaterRun:
 		c.adoptRun(t, a, end.Key.Run)
-	case end.How == runs.Done || end.How == runs.Failed:
-		a.out.Void = append(a.out.Void, end.Key)
+	case end.Outcome == runs.OutcomeDone || end.Outcome == runs.OutcomeFailed:
+		a.out.VoidEnds = append(a.out.VoidEnds, end.Key)
 		c.markDirty(a)
 		return
 	default:
--- a/core/batch/yield_test.go
+++ b/core/batch/yield_test.go
@@ -38,8 +38,8 @@
 		// urgent jobs half of the time, but never longer than that of the others.
 		wait := 50 + 40*(ms/20%2)
 		h.receiveReport(after(ms), 0, func(m *runs.ToEntry) {
-			m.Load.Free = room.Room{Memory: 100000}
-			m.Load.Freeings = []runs.Freeing{{After: wait, CPU: 8000}}
+			m.Load.Free = room.Resources{Memory: 100000}
+			m.Load.ExpectedEnds = []runs.ExpectedEnd{{After: wait, CPU: 8000}}
 		})
 		submit(after(ms), urgent, 8, 60*time.Millisecond)
 		submit(after(ms), other, 2, 200*time.Millisecond)
--- a/core/catalog/catalog.go
+++ b/core/catalog/catalog.go
@@ -56,8 +56,8 @@
 	return c
 }
 
-// Named returns the queue with a name, or nil.
-func (c *Catalog) Named(name string) *Queue {
+// QueueByName returns the queue with a name, or nil.
+func (c *Catalog) QueueByName(name string) *Queue {
 	for _, list := range c.hosts {
 		for i := range list {
 			if list[i].Name == name {
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// Find returns the queue for a request's host and path, or nil.
-func (c *Catalog) Find(host, path string) *Queue {
+// QueueFor returns the queue for a request's host and path, or nil.
+func (c *Catalog) QueueFor(host, path string) *Queue {
 	list := c.hosts[host]
 	for i := range list {
 		if strings.HasPrefix(path, list[i].Prefix) {
--- a/core/claim/name.go
+++ b/core/claim/name.go
@@ -9,19 +9,19 @@
 	unkeyedPrefix = "u/"
 )
 
-// Keyed returns the name of the submission that a team made under a caller's key. The name
+// KeyedName returns the name of the submission that a team made under a caller's key. The name
 // identifies the claim.
-func Keyed(team, key string) string { return TeamPrefix(team) + key }
+func KeyedName(team, key string) string { return TeamPrefix(team) + key }
 
 // TeamPrefix returns the prefix of the names of a team's keyed submissions.
 func TeamPrefix(team string) string { return keyedPrefix + team + "/" }
 
-// Unkeyed returns the name of a submission without a key. The serial makes it unique within the
+// UnkeyedName returns the name of a submission without a key. The serial makes it unique within the
 // entry.
-func Unkeyed(entry, serial string) string { return unkeyedPrefix + entry + "/" + serial }
+func UnkeyedName(entry, serial string) string { return unkeyedPrefix + entry + "/" + serial }
 
-// TeamOf splits the name of a keyed submission into team and key.
-func TeamOf(submission string) (team, key string) {
+// SplitKeyed splits the name of a keyed submission into team and key.
+func SplitKeyed(submission string) (team, key string) {
 	rest := strings.TrimPrefix(submission, keyedPrefix)
 	team, key, _ = strings.Cut(rest, "/")
 	return team, key
--- a/core/dispatch/claims.go
+++ b/core/dispatch/claims.go
@@ -110,7 +110,7 @@
 		if i > 0 && sameRequirement(&sub.specs[i], &sub.specs[i-1]) {
 			continue
 		}
-		for _, a := range c.pool.Best(sub.specs[i].requirement(), len(sub.specs), c.settings.SpareCandidates) {
+		for _, a := range c.pool.ClaimCandidates(sub.specs[i].requirement(), len(sub.specs), c.settings.SpareCandidates) {
 			if !seen[a.ID] {
 				seen[a.ID] = true
 				picked = append(picked, claim.Candidate{ID: a.ID, Address: c.agentAddress(a.ID)})
--- a/core/dispatch/core.go
+++ b/core/dispatch/core.go
@@ -122,7 +122,7 @@
 	// liveEntries is the number of live entries among which quotas are divided; at least 1.
 	liveEntries int
 	// askScratch holds the result of askFor.
-	askScratch rank.Ask
+	askScratch rank.PickRequest
 	// entryNames are the names of the live entries.
 	entryNames []string
 	// openTasks counts the tasks of submissions that have not ended.
@@ -137,7 +137,7 @@
 	pendingRefusals map[string][]pendingRefusal
 	// configVersion is set in all messages to agents.
 	configVersion    uint64
-	sleepingBackends []Asleep
+	sleepingBackends []SleepingBackend
 }
 
 // queueLimitFactor times MaxWaiting is the capacity of the queue. It is larger than what admission
@@ -151,8 +151,8 @@
 	address string
 }
 
-// Asleep describes the backend server of a sleeping worker, as the platform lists it.
-type Asleep struct {
+// SleepingBackend describes the backend server of a sleeping worker, as the platform lists it.
+type SleepingBackend struct {
 	Service string
 	Labels  map[string]string
 }
@@ -185,11 +185,11 @@
 // Stats returns a copy of the counters.
 func (c *Core) Stats() Stats { return c.stats }
 
-// Open returns the number of submissions that have not ended.
-func (c *Core) Open() int { return len(c.submissions) }
+// OpenSubmissions returns the number of submissions that have not ended.
+func (c *Core) OpenSubmissions() int { return len(c.submissions) }
 
-// Waiting returns the number of tasks that wait for an agent.
-func (c *Core) Waiting() int { return c.queue.Len() }
+// WaitingTasks returns the number of tasks that wait for an agent.
+func (c *Core) WaitingTasks() int { return c.queue.Len() }
 
 // SetLease sets the time up to which tasks of claimed submissions may be started. The caller
 // extends it each time the table service confirms the entry's own row. This keeps an entry that
@@ -207,19 +207,19 @@
 // SetConfigVersion sets the configuration version that is included in messages to agents.
 func (c *Core) SetConfigVersion(v uint64) { c.configVersion = v }
 
-// Demand returns the number of slots that this entry needs: one for each attempt in flight and each
+// SlotDemand returns the number of slots that this entry needs: one for each attempt in flight and each
 // waiting task.
-func (c *Core) Demand() float64 {
+func (c *Core) SlotDemand() float64 {
 	inFlight := 0
 	for _, a := range c.pool.Agents() {
-		inFlight += a.InFlight
+		inFlight += a.TasksInFlight
 	}
 	return float64(inFlight + c.queue.Len())
 }
 
-// SetInventory replaces the list of sleeping backend servers. Tasks that only these can run are
+// SetSleepingBackends replaces the list of sleeping backend servers. Tasks that only these can run are
 // admitted, since their workers can be woken.
-func (c *Core) SetInventory(list []Asleep) { c.sleepingBackends = list }
+func (c *Core) SetSleepingBackends(list []SleepingBackend) { c.sleepingBackends = list }
 
 // Configure replaces the settings. They apply to open submissions as well.
 func (c *Core) Configure(settings Settings) {
--- a/core/dispatch/core_test.go
+++ b/core/dispatch/core_test.go
@@ -84,7 +84,7 @@
 			for _, t := range batch.Tasks {
 				msg.Results = append(msg.Results, &wire.Result{
 					Submission: batch.Submission, Index: t.Index, Attempt: t.Attempt, Epoch: batch.Epoch,
-					Payload: []byte("done"), Sum: wire.Sum([]byte("done")), RunTime: 100 * time.Millisecond,
+					Payload: []byte("done"), Checksum: wire.Checksum([]byte("done")), RunTime: 100 * time.Millisecond,
 				})
 			}
 			h.core.Receive(h.now, send.Link, msg)
@@ -128,7 +128,7 @@
 // fenceReply answers the fence of epoch 2 at agent number n, which knows the given attempts.
 func (h *harness) fenceReply(n uint64, states ...wire.TaskState) {
 	h.core.Receive(h.now, LinkID(n*100+1), &wire.ToEntry{Fences: []wire.FenceReply{
-		{Submission: "c/team/key", Epoch: 2, Highest: 2, Tasks: states},
+		{Submission: "c/team/key", Epoch: 2, HighestEpoch: 2, Tasks: states},
 	}})
 }
 
@@ -168,7 +168,7 @@
 	h.is.Equal(h.out.Reads, []string{"c/team/key"})
 	h.core.ClaimRead(h.now, "c/team/key", false, nil, 0)
 	h.flush()
-	h.is.Equal(h.out.Answers[0].Outcome.Ran(), errkind.Unknown) // an earlier submission may have run
+	h.is.Equal(h.out.Answers[0].Outcome.Ran(), errkind.MaybeRan) // an earlier submission may have run
 	h.submit(2, true, false, 1)
 	h.flush()
 	h.core.ClaimRead(h.now, "c/team/key", true, nil, 0)
@@ -188,7 +188,7 @@
 	h.flush()
 	outcome := h.out.Writes[0].Row.Outcome
 	h.is.Equal(outcome.Tasks[0].Ran, errkind.DidRun)
-	h.is.Equal(outcome.Tasks[1].Ran, errkind.Unknown)
+	h.is.Equal(outcome.Tasks[1].Ran, errkind.MaybeRan)
 }
 
 // TestGivenUpTakeoverFencesBeforeVoiding: the deadline passes during the write of a takeover. The
@@ -223,7 +223,7 @@
 	h.flush()
 	h.applyWrite(6)
 	h.flush()
-	h.core.AgentGone(h.now, agentID(3))
+	h.core.AgentEnded(h.now, agentID(3))
 	h.fenceReply(1)
 	h.flush()
 	h.is.Equal(h.starts(), 0)
@@ -244,7 +244,7 @@
 	h.is.Equal(h.starts(), 1) // the retry
 	h.core.Cancel(h.now, "c/team/key")
 	h.flush()
-	h.is.Equal(h.out.Writes[0].Row.Outcome.Tasks[0].Ran, errkind.Unknown)
+	h.is.Equal(h.out.Writes[0].Row.Outcome.Tasks[0].Ran, errkind.MaybeRan)
 }
 
 // TestLateCallerIsAnswered: a caller attaches to a submission whose deadline has passed and whose
@@ -292,7 +292,7 @@
 	h.core.LinkDown(h.now, link)
 	h.flush()
 	h.is.Equal(h.starts(), 0)
-	h.core.AgentGone(h.now, h.core.incarnations[agentName(uint64(link)/100)])
+	h.core.AgentEnded(h.now, h.core.incarnations[agentName(uint64(link)/100)])
 	h.flush()
 	h.is.Equal(h.starts(), 0)
 	h.is.Equal(h.out.Answers[0].Outcome.Kind, errkind.FateUnknown)
@@ -303,7 +303,7 @@
 	h.submit(1, false, false, 1)
 	h.flush()
 	first := h.out.Sends[0].Link
-	h.core.Receive(h.now, first, &wire.ToEntry{Leaving: true, Results: []*wire.Result{
+	h.core.Receive(h.now, first, &wire.ToEntry{NotAccepting: true, Results: []*wire.Result{
 		{Submission: "c/team/key", Attempt: 1, Kind: errkind.Draining, NotRun: true},
 	}})
 	h.flush()
@@ -316,7 +316,7 @@
 	h.submit(1, false, false, 1)
 	h.flush()
 	h.core.Receive(h.now, h.out.Sends[0].Link, &wire.ToEntry{Results: []*wire.Result{
-		{Submission: "c/team/key", Attempt: 1, Payload: []byte("x"), Sum: 1},
+		{Submission: "c/team/key", Attempt: 1, Payload: []byte("x"), Checksum: 1},
 	}})
 	h.flush()
 	h.is.Equal(len(h.out.Answers), 0)
@@ -415,5 +415,5 @@
 	h.core.ClaimWritten(h.now, claim.Result{Submission: w.Row.Submission, Nonce: w.Row.Nonce, Status: claim.NotSent})
 	h.flush()
 	h.is.Equal(h.out.Answers[0].Outcome.Kind, errkind.FateUnknown)
-	h.is.Equal(h.core.Open(), 0)
+	h.is.Equal(h.core.OpenSubmissions(), 0)
 }
--- a/core/dispatch/links.go
+++ b/core/dispatch/links.go
@@ -15,7 +15,7 @@
 func (c *Core) LinkUp(now time.Time, id LinkID, info *wire.AgentInfo) {
 	agent := rank.ID{Agent: info.ID, Incarnation: info.Incarnation}
 	if old, ok := c.incarnations[info.ID]; ok && old != agent {
-		c.AgentGone(now, old)
+		c.AgentEnded(now, old)
 	}
 	c.incarnations[info.ID] = agent
 	c.links[id] = &link{id: id, agent: agent, address: info.Address}
@@ -61,9 +61,9 @@
 	}
 }
 
-// AgentGone registers that an agent incarnation has certainly ended: its address refuses
+// AgentEnded registers that an agent incarnation has certainly ended: its address refuses
 // connections, or another incarnation of the agent has replaced it.
-func (c *Core) AgentGone(now time.Time, agent rank.ID) {
+func (c *Core) AgentEnded(now time.Time, agent rank.ID) {
 	if id, ok := c.linkByAgent[agent]; ok {
 		c.LinkDown(now, id)
 	}
@@ -92,8 +92,8 @@
 	if a == nil {
 		return
 	}
-	c.pool.Report(now, a, msg.Load.Running+msg.Load.Queued, msg.Load.Mine)
-	a.Leaving = msg.Leaving
+	c.pool.RecordLoad(now, a, msg.Load.Running+msg.Load.Queued, msg.Load.OwnedByReceiver)
+	a.Leaving = msg.NotAccepting
 	lastRefused := ""
 	for _, r := range msg.Results {
 		if r.NotRun && r.Submission != lastRefused {
@@ -166,7 +166,7 @@
 	if sub == nil || (sub.phase != phaseFencing && sub.phase != phaseRunning) {
 		return
 	}
-	if reply.Highest > sub.epoch {
+	if reply.HighestEpoch > sub.epoch {
 		c.handleOwnershipLoss(now, sub)
 		return
 	}
@@ -204,7 +204,7 @@
 		}
 		t.attempts = append(t.attempts, attempt{agent: a.ID, number: s.Attempt})
 		t.state = taskInFlight
-		a.Sent()
+		a.RecordSent()
 		c.team(sub.team).inFlight++
 		att = &t.attempts[len(t.attempts)-1]
 	}
@@ -212,7 +212,7 @@
 	switch {
 	case s.Phase == wire.Done && s.Result != nil:
 		c.handleResult(now, a, s.Result)
-	case s.Phase == wire.Done, s.Phase == wire.Lost:
+	case s.Phase == wire.Done, s.Phase == wire.ResultDropped:
 		c.loseAttempt(now, t, *att)
 	}
 }
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -83,7 +83,7 @@
 	ask := c.askFor(now, t)
 	choice := c.pickAgent(now, sub, ask)
 	if choice.Agent == nil && len(t.avoid) > 0 && !c.hasAlternative(t) {
-		ask.Avoid = nil
+		ask.AvoidAgents = nil
 		choice = c.pickAgent(now, sub, ask)
 	}
 	if choice.Agent == nil {
@@ -112,7 +112,7 @@
 }
 
 // pickAgent chooses an agent from the candidates of a claimed submission, else from the pool.
-func (c *Core) pickAgent(now time.Time, sub *submission, ask *rank.Ask) rank.Choice {
+func (c *Core) pickAgent(now time.Time, sub *submission, ask *rank.PickRequest) rank.Choice {
 	if sub.claimed {
 		return c.pool.PickAmong(now, sub.knownCandidates, ask)
 	}
@@ -121,10 +121,10 @@
 
 // askFor returns the requirements of t for a pick from the pool. The result is valid until the next
 // call.
-func (c *Core) askFor(now time.Time, t *task) *rank.Ask {
-	c.askScratch = rank.Ask{
+func (c *Core) askFor(now time.Time, t *task) *rank.PickRequest {
+	c.askScratch = rank.PickRequest{
 		Requirement: t.spec.requirement(), Kind: t.spec.kind(), Waited: now.Sub(t.waitingSince),
-		Spare: c.spareSlotsFor(now, t.sub), Avoid: t.avoid,
+		Spare: c.spareSlotsFor(now, t.sub), AvoidAgents: t.avoid,
 	}
 	return &c.askScratch
 }
@@ -162,9 +162,9 @@
 	t.lastAttempt++
 	t.state = taskInFlight
 	t.attempts = append(t.attempts, attempt{agent: a.ID, number: t.lastAttempt})
-	a.Sent()
+	a.RecordSent()
 	c.team(sub.team).inFlight++
-	a.Probing()
+	a.RecordProbe()
 	sub.addContacted(a.ID)
 	c.stats.Starts++
 	key := batchKey{id, sub.name, t.spec.Class, choice.NoWait}
@@ -176,7 +176,7 @@
 		msg.Starts = append(msg.Starts, batch)
 	}
 	batch.Tasks = append(batch.Tasks, wire.TaskStart{
-		Index: t.index, Attempt: t.lastAttempt, Kind: t.spec.Kind, Payload: t.spec.Payload, Sum: t.payloadChecksum(), MaxRun: t.spec.MaxRun,
+		Index: t.index, Attempt: t.lastAttempt, Kind: t.spec.Kind, Payload: t.spec.Payload, Checksum: t.payloadChecksum(), MaxRun: t.spec.MaxRun,
 	})
 	c.recordPlacement(t, choice, why)
 	c.armAttemptTimers(now, t, a.ID)
@@ -186,7 +186,7 @@
 func (c *Core) recordPlacement(t *task, choice rank.Choice, why DecisionKind) {
 	d := Decision{
 		Kind: why, Submission: t.sub.name, Task: t.index, Attempt: t.lastAttempt,
-		Agent: choice.Agent.ID, Finish: choice.Finish, RunnerUpFinish: choice.RunnerUpFinish,
+		Agent: choice.Agent.ID, Finish: choice.ExpectedTime, RunnerUpFinish: choice.RunnerUpExpectedTime,
 	}
 	if choice.RunnerUp != nil {
 		d.RunnerUp = choice.RunnerUp.ID
@@ -197,7 +197,7 @@
 // payloadChecksum returns the checksum of the payload, which it computes on the first call.
 func (t *task) payloadChecksum() uint64 {
 	if !t.hasChecksum {
-		t.checksum = wire.Sum(t.spec.Payload)
+		t.checksum = wire.Checksum(t.spec.Payload)
 		t.hasChecksum = true
 	}
 	return t.checksum
@@ -206,7 +206,7 @@
 // armAttemptTimers sets the timers that act if the newest attempt of t takes unusually long. There
 // are none while too little is known about the run times of its kind.
 func (c *Core) armAttemptTimers(now time.Time, t *task, agent rank.ID) {
-	slowAfter := float64(c.pool.SlowAfter(t.spec.kind()))
+	slowAfter := float64(c.pool.StragglerThreshold(t.spec.kind()))
 	if c.mayHedge(t) {
 		c.hedgeBudget.add(c.settings.HedgeShare)
 	}
@@ -238,7 +238,7 @@
 		return
 	}
 	att.overdue = true
-	a.Overdue(1)
+	a.AddOverdue(1)
 }
 
 // hedgeStraggler sends a second attempt of a task to another agent if the given attempt is still the
@@ -248,7 +248,7 @@
 		return
 	}
 	ask := c.askFor(now, t)
-	ask.Waited, ask.Avoid = 0, []rank.ID{agent}
+	ask.Waited, ask.AvoidAgents = 0, []rank.ID{agent}
 	choice := c.pool.Pick(now, ask)
 	if choice.Agent == nil || !c.hedgeBudget.take() {
 		return
--- a/core/dispatch/request.go
+++ b/core/dispatch/request.go
@@ -31,7 +31,7 @@
 type Request struct {
 	// ID identifies the waiting caller in Answer.Request.
 	ID uint64
-	// Submission is the name of the submission, as returned by claim.Keyed or claim.Unkeyed.
+	// Submission is the name of the submission, as returned by claim.KeyedName or claim.UnkeyedName.
 	Submission string
 	// Claimed is set for submissions with a caller's key, which have a claim.
 	Claimed bool
@@ -109,9 +109,9 @@
 	}
 }
 
-// Watch adds a waiting request to a submission that this entry owns. It returns false if the entry
+// AddWaiter adds a waiting request to a submission that this entry owns. It returns false if the entry
 // does not own the submission or is not certain to.
-func (c *Core) Watch(name string, request uint64) bool {
+func (c *Core) AddWaiter(name string, request uint64) bool {
 	sub := c.submissions[name]
 	if sub == nil || sub.phase == phaseAwaitingOwner || (sub.phase == phaseClaiming && sub.mayHaveRunBefore) {
 		return false
@@ -120,8 +120,8 @@
 	return true
 }
 
-// Unwatch removes a request that no longer waits.
-func (c *Core) Unwatch(name string, request uint64) {
+// RemoveWaiter removes a request that no longer waits.
+func (c *Core) RemoveWaiter(name string, request uint64) {
 	if sub := c.submissions[name]; sub != nil {
 		sub.waiters = slices.DeleteFunc(sub.waiters, func(w waiter) bool { return w.id == request })
 	}
@@ -182,7 +182,7 @@
 	if len(labelSets) == 0 {
 		return errkind.Overloaded, fmt.Sprintf("no backend server of service %q has announced itself", t.Service)
 	}
-	term, failed := t.Selector.FailedTerm(labelSets)
+	term, failed := t.Selector.UnmatchedTerm(labelSets)
 	if !failed {
 		term = t.Selector.String() + " (each term has a match, but no worker meets all)"
 	}
@@ -213,7 +213,7 @@
 
 // expectedWait estimates how long a new task of the class waits for a slot.
 func (c *Core) expectedWait(class uint8) time.Duration {
-	ahead := c.queue.Ahead(class)
+	ahead := c.queue.CountUpTo(class)
 	if ahead == 0 {
 		return 0
 	}
--- a/core/dispatch/results.go
+++ b/core/dispatch/results.go
@@ -24,7 +24,7 @@
 		c.stats.WastedUnmatched++
 		return
 	}
-	if wire.Sum(r.Payload) != r.Sum && len(r.Payload) > 0 {
+	if wire.Checksum(r.Payload) != r.Checksum && len(r.Payload) > 0 {
 		c.stats.Corrupt++
 		if att.unconfirmed {
 			c.loseAttempt(now, t, *att)
@@ -76,7 +76,7 @@
 // attempts in flight are canceled.
 func (c *Core) handleCompleted(now time.Time, a *rank.Agent, t *task, r *wire.Result) {
 	c.stats.Ran++
-	c.pool.Succeeded(now, a, t.spec.kind(), r.RunTime)
+	c.pool.RecordSuccess(now, a, t.spec.kind(), r.RunTime)
 	c.retryBudget.add(c.settings.RetryShare)
 	if t.state == taskDone {
 		return
@@ -96,7 +96,7 @@
 func (c *Core) handleFailed(now time.Time, a *rank.Agent, t *task, r *wire.Result) {
 	c.stats.Ran++
 	sub := t.sub
-	if c.pool.Failed(now, a, t.spec.kind()) {
+	if c.pool.RecordFailure(now, a, t.spec.kind()) {
 		c.stats.Ejected++
 		c.recordDecision(Decision{Kind: Ejection, Agent: a.ID, Reason: r.Kind})
 	}
@@ -143,9 +143,9 @@
 	if a == nil {
 		return
 	}
-	a.Answered()
+	a.RecordAnswered()
 	if att.overdue {
-		a.Overdue(-1)
+		a.AddOverdue(-1)
 	}
 }
 
--- a/core/dispatch/submission.go
+++ b/core/dispatch/submission.go
@@ -322,7 +322,7 @@
 	case t.lastFailure == errkind.TaskFailed && len(t.attempts) == 0 && !t.mayHaveRun:
 		return wire.TaskOutcome{Kind: errkind.TaskFailed, Ran: errkind.DidRun}
 	case len(t.attempts) > 0 || t.mayHaveRun || t.lastFailure != errkind.OK || t.sub.hasUnreportedCandidates():
-		return wire.TaskOutcome{Kind: errkind.FateUnknown, Ran: errkind.Unknown}
+		return wire.TaskOutcome{Kind: errkind.FateUnknown, Ran: errkind.MaybeRan}
 	}
 	return wire.TaskOutcome{Kind: errkind.Canceled, Ran: errkind.NotRun}
 }
--- a/core/dispatch/takeover.go
+++ b/core/dispatch/takeover.go
@@ -74,18 +74,18 @@
 	c.out.Awaits = append(c.out.Awaits, PeerAwait{Submission: sub.name, Owner: sub.owner, Cancel: sub.cancelRequested})
 }
 
-// PeerFate is the result of a request to another entry.
-type PeerFate uint8
+// PeerStatus is the result of a request to another entry.
+type PeerStatus uint8
 
 // Results of a request to the owner of a submission.
 const (
 	// PeerAnswered: the owner replied.
-	PeerAnswered PeerFate = iota
+	PeerAnswered PeerStatus = iota
 	// PeerRefused: nothing listens at the owner's address, or another incarnation does. The owner
 	// has ended.
 	PeerRefused
-	// PeerSilent: the request timed out.
-	PeerSilent
+	// PeerTimedOut: the request timed out.
+	PeerTimedOut
 )
 
 // maxOwnerTimeouts is the number of requests to the owner in a row that may time out before the
@@ -95,7 +95,7 @@
 
 // PeerReplied handles the result of a PeerAwait. owner is the incarnation that was asked; reply is
 // valid with PeerAnswered only.
-func (c *Core) PeerReplied(now time.Time, name string, owner uint64, status PeerFate, reply *wire.AwaitReply) {
+func (c *Core) PeerReplied(now time.Time, name string, owner uint64, status PeerStatus, reply *wire.AwaitReply) {
 	sub := c.submissions[name]
 	if sub == nil || sub.phase != phaseAwaitingOwner || sub.owner.Incarnation != owner {
 		return
--- a/core/dispatch/weight.go
+++ b/core/dispatch/weight.go
@@ -13,11 +13,11 @@
 	awayRefuseWeight = 0.5
 )
 
-// Weigh derives the settings that trade response time against wasted messages from a weight
+// SetResponseWeight derives the settings that trade response time against wasted messages from a weight
 // between 0 (fewest messages) and 1 (shortest response times).
-func (s *Settings) Weigh(weight float64) {
+func (s *Settings) SetResponseWeight(weight float64) {
 	s.HedgeShare = maxHedgeShare * weight
 	s.Rank.AwayMargin = maxAwayMargin - (maxAwayMargin-minAwayMargin)*weight
-	s.Rank.AwayRefuse = weight >= awayRefuseWeight
+	s.Rank.AwayNoWait = weight >= awayRefuseWeight
 	s.HedgeFactor = maxHedgeFactor - (maxHedgeFactor-minHedgeFactor)*weight
 }
--- a/core/drains/drains.go
+++ b/core/drains/drains.go
@@ -24,9 +24,9 @@
 	confirmedAt time.Time
 }
 
-// Learn takes a view unless it is older than the present one, and the time of its confirmation.
+// Update takes a view unless it is older than the present one, and the time of its confirmation.
 // It reports whether the set of drained data centres has changed.
-func (s *State) Learn(now time.Time, v runs.Drains) (changed bool) {
+func (s *State) Update(now time.Time, v runs.DrainView) (changed bool) {
 	if v.Version == 0 || v.Version < s.version {
 		return false
 	}
@@ -45,15 +45,15 @@
 }
 
 // View returns the present view with its age, to be sent to other processes.
-func (s *State) View(now time.Time) runs.Drains {
+func (s *State) View(now time.Time) runs.DrainView {
 	if s.version == 0 {
-		return runs.Drains{}
+		return runs.DrainView{}
 	}
-	return runs.Drains{Version: s.version, DataCentres: s.dataCentres, Age: s.Age(now)}
+	return runs.DrainView{Version: s.version, DataCentres: s.dataCentres, Age: s.Age(now)}
 }
 
-// Has reports whether a data centre is drained.
-func (s *State) Has(dataCentre string) bool { return slices.Contains(s.dataCentres, dataCentre) }
+// IsDrained reports whether a data centre is drained.
+func (s *State) IsDrained(dataCentre string) bool { return slices.Contains(s.dataCentres, dataCentre) }
 
 // DataCentres returns the drained data centres.
 func (s *State) DataCentres() []string { return s.dataCentres }
--- a/core/drains/drains_test.go
+++ b/core/drains/drains_test.go
@@ -16,35 +16,35 @@
 func TestNewerViewReplacesTheOlderOne(t *testing.T) {
 	is := is.New(t)
 	var s State
-	is.True(s.Learn(start, runs.Drains{Version: 5, DataCentres: []string{"a"}}))
-	is.True(s.Has("a"))
-	is.True(!s.Learn(start, runs.Drains{Version: 4})) // an older view
-	is.True(s.Has("a"))
-	is.True(s.Learn(start, runs.Drains{Version: 9}))
-	is.True(!s.Has("a"))
-	is.True(!s.Learn(start, runs.Drains{Version: 5, DataCentres: []string{"a"}}))
-	is.True(!s.Has("a"))
+	is.True(s.Update(start, runs.DrainView{Version: 5, DataCentres: []string{"a"}}))
+	is.True(s.IsDrained("a"))
+	is.True(!s.Update(start, runs.DrainView{Version: 4})) // an older view
+	is.True(s.IsDrained("a"))
+	is.True(s.Update(start, runs.DrainView{Version: 9}))
+	is.True(!s.IsDrained("a"))
+	is.True(!s.Update(start, runs.DrainView{Version: 5, DataCentres: []string{"a"}}))
+	is.True(!s.IsDrained("a"))
 }
 
 func TestEmptyViewChangesNothing(t *testing.T) {
 	is := is.New(t)
 	var s State
 	is.Equal(s.View(start).Version, uint64(0))
-	s.Learn(start, runs.Drains{Version: 2, DataCentres: []string{"a"}})
-	is.True(!s.Learn(start, runs.Drains{})) // from a process that has no view
+	s.Update(start, runs.DrainView{Version: 2, DataCentres: []string{"a"}})
+	is.True(!s.Update(start, runs.DrainView{})) // from a process that has no view
 	is.Equal(s.View(start).DataCentres, []string{"a"})
 }
 
 func TestAgeIsThatOfTheNewestConfirmation(t *testing.T) {
 	is := is.New(t)
 	var s State
-	s.Learn(start, runs.Drains{Version: 5, Age: time.Second})
+	s.Update(start, runs.DrainView{Version: 5, Age: time.Second})
 	is.Equal(s.Age(start), time.Second)
-	s.Learn(start.Add(time.Second), runs.Drains{Version: 5, Age: 5 * time.Second}) // confirmed earlier
+	s.Update(start.Add(time.Second), runs.DrainView{Version: 5, Age: 5 * time.Second}) // confirmed earlier
 	is.Equal(s.Age(start.Add(time.Second)), 2*time.Second)
-	s.Learn(start.Add(time.Second), runs.Drains{Version: 4}) // an older view confirms nothing
+	s.Update(start.Add(time.Second), runs.DrainView{Version: 4}) // an older view confirms nothing
 	is.Equal(s.Age(start.Add(time.Second)), 2*time.Second)
-	s.Learn(start.Add(time.Second), runs.Drains{Version: 6})
+	s.Update(start.Add(time.Second), runs.DrainView{Version: 6})
 	is.Equal(s.Age(start.Add(time.Second)), time.Duration(0))
 }
 
@@ -58,17 +58,17 @@
 			slices.Sort(drained)
 			history = append(history, drained)
 		}
-		view := func(version int) runs.Drains {
-			return runs.Drains{Version: uint64(version), DataCentres: history[version]}
+		view := func(version int) runs.DrainView {
+			return runs.DrainView{Version: uint64(version), DataCentres: history[version]}
 		}
 		states := make([]State, 4)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			to := &states[rapid.IntRange(0, 3).Draw(t, "to")]
 			before := to.version
 			if rapid.Bool().Draw(t, "fromStore") {
-				to.Learn(start, view(rapid.IntRange(0, len(history)-1).Draw(t, "version")))
+				to.Update(start, view(rapid.IntRange(0, len(history)-1).Draw(t, "version")))
 			} else {
-				to.Learn(start, states[rapid.IntRange(0, 3).Draw(t, "from")].View(start))
+				to.Update(start, states[rapid.IntRange(0, 3).Draw(t, "from")].View(start))
 			}
 			if to.version < before {
 				t.Fatalf("went back from %d to %d", before, to.version)
@@ -78,9 +78,9 @@
 			}
 		}
 		newest := view(len(history) - 1)
-		states[0].Learn(start, newest)
+		states[0].Update(start, newest)
 		for i := range states[1:] {
-			states[i+1].Learn(start, states[i].View(start))
+			states[i+1].Update(start, states[i].View(start))
 		}
 		for i := range states {
 			if !slices.Equal(states[i].dataCentres, newest.DataCentres) {
--- a/core/fair/queue.go
+++ b/core/fair/queue.go
@@ -77,8 +77,8 @@
 // Free returns how many more items fit.
 func (q *Queue[T]) Free() int { return q.limit - q.size }
 
-// Ahead returns the number of items of the class and of more urgent ones, those of all teams.
-func (q *Queue[T]) Ahead(class uint8) int {
+// CountUpTo returns the number of items of the class and of more urgent ones, those of all teams.
+func (q *Queue[T]) CountUpTo(class uint8) int {
 	n := 0
 	for itemClass, count := range q.countByClass {
 		if itemClass <= class {
--- a/core/group/bench_test.go
+++ b/core/group/bench_test.go
@@ -56,7 +56,7 @@
 func simulateDelays(writers int, jobs float64) ([]time.Duration, float64) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	g := New(DefaultParams())
-	g.SetShares(writers)
+	g.SetLiveEntries(writers)
 	arrived := make(map[uint64]time.Time)
 	var due []time.Time
 	next := time.Duration(rng.ExpFloat64() / jobs * float64(time.Second))
--- a/core/group/group.go
+++ b/core/group/group.go
@@ -44,17 +44,17 @@
 	}
 }
 
-// Fate is the result of a transaction.
-type Fate uint8
+// TxnStatus is the result of a transaction.
+type TxnStatus uint8
 
 // Results of a transaction.
 const (
 	// Applied: all writes took effect.
-	Applied Fate = iota
+	Applied TxnStatus = iota
 	// Conflicted: no write took effect, because the condition of at least one was not met.
 	Conflicted
-	// Refused: the transaction certainly had no effect.
-	Refused
+	// NotApplied: the transaction certainly had no effect.
+	NotApplied
 	// Lost: the transaction may have taken effect; its answer was lost.
 	Lost
 )
@@ -115,8 +115,8 @@
 	return &Grouper{params: params, liveEntries: 1, inFlight: make(map[uint64]*Group), tokens: 1}
 }
 
-// SetShares sets the number of live entries among which the budget is divided evenly.
-func (g *Grouper) SetShares(n int) { g.liveEntries = max(1, n) }
+// SetLiveEntries sets the number of live entries among which the budget is divided evenly.
+func (g *Grouper) SetLiveEntries(n int) { g.liveEntries = max(1, n) }
 
 // Rate returns this entry's share in transactions a second.
 func (g *Grouper) Rate() float64 { return g.params.Budget / float64(g.liveEntries) }
@@ -127,17 +127,17 @@
 // Waiting returns the number of writes that wait to be sent.
 func (g *Grouper) Waiting() int { return len(g.waiting) }
 
-// Away reports whether the table service has an outage, that is, does not answer.
-func (g *Grouper) Away() bool { return g.consecutiveFailures >= g.params.OutageAfter }
+// InOutage reports whether the table service has an outage, that is, does not answer.
+func (g *Grouper) InOutage() bool { return g.consecutiveFailures >= g.params.OutageAfter }
 
-// Reachable records whether another request to the table service was answered: a failure counts as
+// ReportReachable records whether another request to the table service was answered: a failure counts as
 // an outage at once, a success ends one. During an outage the caller must go on sending such
 // requests, since no new claim is sent that could detect the end of the outage.
-func (g *Grouper) Reachable(ok bool) {
+func (g *Grouper) ReportReachable(ok bool) {
 	switch {
 	case !ok:
 		g.consecutiveFailures = max(g.consecutiveFailures, g.params.OutageAfter)
-	case g.Away():
+	case g.InOutage():
 		g.consecutiveFailures = 0
 		g.retryAt = time.Time{}
 	}
@@ -146,7 +146,7 @@
 // Add queues a write. A write that may expire is rejected as not sent if too many writes wait or
 // the table service has an outage: if it were sent, its status would most likely be unknown.
 func (g *Grouper) Add(w claim.Write) {
-	if !w.Expires.IsZero() && (g.Away() || len(g.waiting) >= g.params.MaxPending) {
+	if !w.Expires.IsZero() && (g.InOutage() || len(g.waiting) >= g.params.MaxPending) {
 		g.rejectUnsent(w)
 		return
 	}
@@ -157,7 +157,7 @@
 func (g *Grouper) rejectUnsent(w claim.Write) {
 	g.stats.Expired++
 	g.results = append(g.results, claim.Result{
-		Submission: w.Row.Submission, Nonce: w.Row.Nonce, Status: claim.NotSent, Outage: g.Away(),
+		Submission: w.Row.Submission, Nonce: w.Row.Nonce, Status: claim.NotSent, Outage: g.InOutage(),
 	})
 }
 
@@ -215,7 +215,7 @@
 	kept := g.waiting[:0]
 	for _, p := range g.waiting {
 		mayExpire := !p.statusUnknown && !p.write.Expires.IsZero()
-		if mayExpire && (g.Away() || !now.Before(p.write.Expires)) {
+		if mayExpire && (g.InOutage() || !now.Before(p.write.Expires)) {
 			g.rejectUnsent(p.write)
 			continue
 		}
@@ -268,7 +268,7 @@
 
 // Done handles the result of a transaction. version is that of the rows written if it was applied,
 // conflicts are the writes whose condition was not met if it was conflicted.
-func (g *Grouper) Done(now time.Time, id uint64, status Fate, version uint64, conflicts []Conflict) {
+func (g *Grouper) Done(now time.Time, id uint64, status TxnStatus, version uint64, conflicts []Conflict) {
 	group := g.inFlight[id]
 	if group == nil {
 		return
@@ -281,7 +281,7 @@
 	case Conflicted:
 		g.consecutiveFailures = 0
 		g.handleConflicted(group, conflicts)
-	case Refused:
+	case NotApplied:
 		g.requeueAfterFailure(now, group)
 	case Lost:
 		g.stats.Lost++
--- a/core/group/group_test.go
+++ b/core/group/group_test.go
@@ -21,7 +21,7 @@
 	p := DefaultParams()
 	p.Budget = 10
 	g := New(p)
-	g.SetShares(2) // 5 transactions a second
+	g.SetLiveEntries(2) // 5 transactions a second
 	sent, writes := 0, 0
 	for ms := range 10_000 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
@@ -63,7 +63,7 @@
 	g := New(DefaultParams())
 	g.Add(write(1, start.Add(time.Second)))
 	group, _ := g.Next(start)
-	g.Done(start, group.ID, Refused, 0, nil)
+	g.Done(start, group.ID, NotApplied, 0, nil)
 	_, wake := g.Next(start)
 	is.True(!wake.IsZero())
 	group, _ = g.Next(start.Add(2 * time.Second))
@@ -91,16 +91,16 @@
 	g := New(p)
 	g.Add(write(1, start.Add(time.Minute)))
 	group, _ := g.Next(start)
-	g.Reachable(false)
-	is.True(g.Away())
-	g.Done(start, group.ID, Refused, 0, nil)
+	g.ReportReachable(false)
+	is.True(g.InOutage())
+	g.Done(start, group.ID, NotApplied, 0, nil)
 	g.Next(start)
 	is.Equal(g.Results()[0].Status, claim.NotSent)
 	g.Add(write(2, start.Add(time.Minute)))
 	r := g.Results()
 	is.Equal(r[0].Status, claim.NotSent)
 	is.True(r[0].Outage)
-	g.Reachable(true)
+	g.ReportReachable(true)
 	g.Add(write(3, start.Add(time.Minute)))
 	group, _ = g.Next(start.Add(time.Second))
 	is.Equal(len(group.Writes), 1)
--- a/core/leases/leases.go
+++ b/core/leases/leases.go
@@ -3,7 +3,7 @@
 //
 // By then nothing of the job may run. An entry's lease at an agent lasts Times.Owner. If the
 // agent is lost just before it expires, the worker ends the runs when its own lease has expired,
-// up to Times.RunsOver later. Both together stay below the resend time.
+// up to Times.RunExpiry later. Both together stay below the resend time.
 package leases
 
 import "time"
@@ -25,19 +25,19 @@
 	Owner time.Duration
 	// Worker is the lease that agents request from their worker.
 	Worker time.Duration
-	// RunsOver is the time after the last request of a lease by which a worker has certainly
+	// RunExpiry is the time after the last request of a lease by which a worker has certainly
 	// ended all runs.
-	RunsOver time.Duration
+	RunExpiry time.Duration
 }
 
-// For returns the leases for a resend time. stop is how long the worker may take to stop a run,
+// ForResend returns the leases for a resend time. stop is how long the worker may take to stop a run,
 // longest the longest lease that it grants; 0 means no limit.
-func For(resend, stop, longest time.Duration) Times {
+func ForResend(resend, stop, longest time.Duration) Times {
 	owner := time.Duration(ownerShare * float64(resend))
 	ending := stop + expirySlack
 	worker := time.Duration(float64(resend-owner-ending) / clockDriftFactor)
 	if longest > 0 {
 		worker = min(worker, longest)
 	}
-	return Times{Owner: owner, Worker: worker, RunsOver: time.Duration(float64(worker)*clockDriftFactor) + ending}
+	return Times{Owner: owner, Worker: worker, RunExpiry: time.Duration(float64(worker)*clockDriftFactor) + ending}
 }
--- a/core/ledger/follow.go
+++ b/core/ledger/follow.go
@@ -8,16 +8,16 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Load takes all rows of the store, as read by a call that was sent at sentAt.
-func (c *Core) Load(now time.Time, rows []Stored, sentAt time.Time) {
+// LoadRows takes all rows of the store, as read by a call that was sent at sentAt.
+func (c *Core) LoadRows(now time.Time, rows []StoredRow, sentAt time.Time) {
 	c.loaded = true
-	c.Learn(now, rows, sentAt)
+	c.ApplyChanges(now, rows, sentAt)
 }
 
-// Learn takes the rows that have changed, as read by a poll that was sent at sentAt. The poll
+// ApplyChanges takes the rows that have changed, as read by a poll that was sent at sentAt. The poll
 // confirms the ownership of all jobs that it does not show as taken by another entry. A zero sentAt
 // confirms nothing.
-func (c *Core) Learn(now time.Time, rows []Stored, sentAt time.Time) {
+func (c *Core) ApplyChanges(now time.Time, rows []StoredRow, sentAt time.Time) {
 	c.now = now
 	for i := range rows {
 		c.applyRow(&rows[i])
@@ -30,7 +30,7 @@
 	}
 }
 
-func (c *Core) applyRow(s *Stored) {
+func (c *Core) applyRow(s *StoredRow) {
 	j := c.jobs[s.Job]
 	if s.Row == nil {
 		if j != nil && s.Version > j.version && j.pendingWrite == nil {
@@ -62,8 +62,8 @@
 	c.handleRowChange(j)
 }
 
-// Peers records that other entries are alive.
-func (c *Core) Peers(now time.Time, alive []runs.Entry) {
+// RecordAlive records that other entries are alive.
+func (c *Core) RecordAlive(now time.Time, alive []runs.Entry) {
 	c.now = now
 	for _, e := range alive {
 		if e.Address != c.settings.Self.Address {
@@ -117,10 +117,10 @@
 	if goneSince.IsZero() || c.now.Sub(goneSince) < time.Duration(c.takeoverRank(j.name))*takeoverDelayPerRank {
 		return
 	}
-	j.startDelay = c.settings.RunsOver
+	j.startDelay = c.settings.RunExpiry
 	reason := "its process is gone"
 	if !certain {
-		j.startDelay += c.settings.OwnFor
+		j.startDelay += c.settings.OwnershipTTL
 		reason = "its entry is silent"
 	}
 	c.logDecision(j, "take over", reason)
@@ -145,10 +145,10 @@
 	if known {
 		last = p.heardAt
 	}
-	if c.now.Sub(last) < c.settings.SilentAfter {
+	if c.now.Sub(last) < c.settings.SilenceTimeout {
 		return time.Time{}, false
 	}
-	return last.Add(c.settings.SilentAfter), false
+	return last.Add(c.settings.SilenceTimeout), false
 }
 
 // takeoverRank returns this entry's position in the order in which the live entries take a job
@@ -156,7 +156,7 @@
 func (c *Core) takeoverRank(name string) int {
 	alive := []string{c.settings.Self.Address}
 	for address, p := range c.peers {
-		if c.now.Sub(p.heardAt) < c.settings.SilentAfter {
+		if c.now.Sub(p.heardAt) < c.settings.SilenceTimeout {
 			alive = append(alive, address)
 		}
 	}
@@ -192,7 +192,7 @@
 	removed := 0
 	for _, name := range sortedNames(c.jobs) {
 		j := c.jobs[name]
-		if j.endedAt.IsZero() || c.now.Sub(j.endedAt) < c.settings.KeepEnded || j.pendingWrite != nil {
+		if j.endedAt.IsZero() || c.now.Sub(j.endedAt) < c.settings.EndedRetention || j.pendingWrite != nil {
 			continue
 		}
 		if removed == maxRemovalsPerSweep || c.takeoverRank(name) != 0 {
@@ -200,7 +200,7 @@
 		}
 		removed++
 		c.lastWriteID++
-		w := Write{Job: name, Expect: j.version, id: c.lastWriteID}
+		w := Write{Job: name, ExpectVersion: j.version, id: c.lastWriteID}
 		j.pendingWrite = &w
 		c.out.Writes = append(c.out.Writes, w)
 	}
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -7,7 +7,7 @@
 //
 // Ownership. An entry runs a job only while its ownership of that job is confirmed. A poll of the
 // changes confirms it: once the poll is answered, no other entry can have taken the job before the
-// poll was sent. A confirmation is valid for Settings.OwnFor, counted from the sending of the poll.
+// poll was sent. A confirmation is valid for Settings.OwnershipTTL, counted from the sending of the poll.
 // An entry that takes a job over from an owner that may still be alive waits for that time, and for
 // the leases of the owner's runs to expire, before it starts any task.
 //
@@ -34,17 +34,17 @@
 // Settings configures a Core.
 type Settings struct {
 	Self runs.Entry
-	// OwnFor is how long a confirmation of ownership is valid, counted from the sending of the poll
+	// OwnershipTTL is how long a confirmation of ownership is valid, counted from the sending of the poll
 	// that confirmed it.
-	OwnFor time.Duration
-	// RunsOver is the time after which all runs of an entry that is gone have ended.
-	RunsOver time.Duration
-	// SilentAfter is how long another entry may be silent before it counts as gone.
-	SilentAfter time.Duration
-	// KeepEnded is how long the row of an ended job is kept, so that callers can ask for its state.
-	KeepEnded time.Duration
-	// MaxOpen limits the number of jobs of this entry that have not ended.
-	MaxOpen int
+	OwnershipTTL time.Duration
+	// RunExpiry is the time after which all runs of an entry that is gone have ended.
+	RunExpiry time.Duration
+	// SilenceTimeout is how long another entry may be silent before it counts as gone.
+	SilenceTimeout time.Duration
+	// EndedRetention is how long the row of an ended job is kept, so that callers can ask for its state.
+	EndedRetention time.Duration
+	// MaxOpenJobs limits the number of jobs of this entry that have not ended.
+	MaxOpenJobs int
 }
 
 // RequestID identifies a request that waits for an Answer.
@@ -56,8 +56,8 @@
 	Kind    errkind.Kind
 }
 
-// Own tells the entry to run a job that it owns.
-type Own struct {
+// Acquisition tells the entry to run a job that it owns.
+type Acquisition struct {
 	Job string
 	Row *Row
 	// SafeAt is when all runs that the previous owner, or this entry before it lost its
@@ -65,8 +65,8 @@
 	SafeAt time.Time
 }
 
-// Stores reports that the record with number Seq of a job is stored.
-type Stores struct {
+// StoredRecord reports that the record with number Seq of a job is stored.
+type StoredRecord struct {
 	Job string
 	Seq uint64
 }
@@ -75,29 +75,29 @@
 type Output struct {
 	Writes  []Write
 	Answers []Answer
-	// Owns lists the jobs that the entry's core has to run.
-	Owns []Own
-	// Disowns lists the jobs that it has to stop because another entry has taken them over.
-	Disowns []string
+	// Acquired lists the jobs that the entry's core has to run.
+	Acquired []Acquisition
+	// Lost lists the jobs that it has to stop because another entry has taken them over.
+	Lost []string
 	// Cancelled lists the jobs that it has to stop because they are cancelled.
 	Cancelled []string
-	// Stored lists the records that are stored since the last call.
-	Stored []Stores
+	// StoredRecords lists the records that are stored since the last call.
+	StoredRecords []StoredRecord
 	// Ended lists the jobs that have ended in the store since the last call.
-	Ended []string
-	Notes []Note
+	Ended     []string
+	Decisions []Decision
 }
 
-// Note is a decision to be logged and counted.
-type Note struct {
+// Decision is a decision to be logged and counted.
+type Decision struct {
 	Event string
 	Job   string
 	Queue string
 	// Version is the version of the row, Epoch the epoch of its owner.
 	Version, Epoch uint64
 	Reason         string
-	// Age is the time since the newest confirmation of ownership.
-	Age time.Duration
+	// ConfirmationAge is the time since the newest confirmation of ownership.
+	ConfirmationAge time.Duration
 }
 
 // job is what this entry knows of one durable job.
@@ -167,8 +167,8 @@
 	return out
 }
 
-// Open returns the number of jobs owned by this entry that have not ended.
-func (c *Core) Open() int {
+// OpenJobs returns the number of jobs owned by this entry that have not ended.
+func (c *Core) OpenJobs() int {
 	n := 0
 	for _, j := range c.active {
 		if c.isOwned(j) {
@@ -178,12 +178,12 @@
 	return n
 }
 
-// Empty reports whether all rows were read and there is no durable job.
-func (c *Core) Empty() bool { return c.loaded && len(c.jobs) == 0 }
+// IsEmpty reports whether all rows were read and there is no durable job.
+func (c *Core) IsEmpty() bool { return c.loaded && len(c.jobs) == 0 }
 
-// Unconfirmed reports whether this entry owns jobs but cannot run them because its ownership is not
+// HasUnconfirmed reports whether this entry owns jobs but cannot run them because its ownership is not
 // confirmed.
-func (c *Core) Unconfirmed() bool {
+func (c *Core) HasUnconfirmed() bool {
 	if c.isConfirmed() {
 		return false
 	}
@@ -204,13 +204,13 @@
 	if c.confirmedAt.IsZero() {
 		return time.Time{}
 	}
-	return c.confirmedAt.Add(c.settings.OwnFor)
+	return c.confirmedAt.Add(c.settings.OwnershipTTL)
 }
 
 func (c *Core) isConfirmed() bool { return c.now.Before(c.OwnedUntil()) }
 
-// Fresh reports whether every job that was accepted at least the given time ago is known here.
-func (c *Core) Fresh(now time.Time, within time.Duration) bool {
+// IsFresh reports whether every job that was accepted at least the given time ago is known here.
+func (c *Core) IsFresh(now time.Time, within time.Duration) bool {
 	return c.loaded && now.Sub(c.confirmedAt) < within
 }
 
@@ -225,7 +225,7 @@
 		j.insertRequests = append(j.insertRequests, id)
 	case !c.loaded:
 		c.refuse(id, name, row.Queue, errkind.StoreUnavailable, "the stored jobs are not read yet")
-	case c.Open() >= c.settings.MaxOpen:
+	case c.OpenJobs() >= c.settings.MaxOpenJobs:
 		c.refuse(id, name, row.Queue, errkind.Overloaded, "too many open jobs")
 	default:
 		row.Owner = c.settings.Self
@@ -241,7 +241,7 @@
 	c.now = now
 	j := c.jobs[name]
 	switch {
-	case j == nil && !c.Fresh(now, c.settings.SilentAfter):
+	case j == nil && !c.IsFresh(now, c.settings.SilenceTimeout):
 		c.answer(id, errkind.StoreUnavailable)
 	case j == nil:
 		c.answer(id, errkind.NotFound)
@@ -255,8 +255,8 @@
 	}
 }
 
-// Record stores the progress of a job that the entry runs.
-func (c *Core) Record(now time.Time, r batch.Record) {
+// SaveRecord stores the progress of a job that the entry runs.
+func (c *Core) SaveRecord(now time.Time, r batch.Record) {
 	c.now = now
 	j := c.jobs[r.Job]
 	if j == nil || !c.isOwned(j) {
@@ -266,9 +266,9 @@
 	c.sendNextWrite(j)
 }
 
-// GaveUp handles that the entry's core has stopped a job because its ownership was not confirmed in
+// HandleOwnershipExpired handles that the entry's core has stopped a job because its ownership was not confirmed in
 // time. The job starts again once it is.
-func (c *Core) GaveUp(now time.Time, name string) {
+func (c *Core) HandleOwnershipExpired(now time.Time, name string) {
 	c.now = now
 	j := c.jobs[name]
 	if j == nil || !j.running {
@@ -277,7 +277,7 @@
 	j.running = false
 	j.pendingRecord = nil
 	j.needsStart = true
-	j.startDelay = c.settings.RunsOver
+	j.startDelay = c.settings.RunExpiry
 	c.logDecision(j, "ownership not confirmed", "")
 }
 
@@ -290,8 +290,8 @@
 	return j.row.State, true
 }
 
-// Waiting returns the number of jobs in a queue none of whose tasks is known to have begun.
-func (c *Core) Waiting(queue string) int {
+// QueuedJobs returns the number of jobs in a queue none of whose tasks is known to have begun.
+func (c *Core) QueuedJobs(queue string) int {
 	n := 0
 	for _, j := range c.active {
 		if j.version > 0 && j.row.Queue == queue && j.row.State == batch.JobQueued {
@@ -301,7 +301,7 @@
 	return n
 }
 
-// Settle decides on the end of a run whose job this entry does not run. The end is noted if no
+// ResolveEnd decides on the end of a run whose job this entry does not run. The end is noted if no
 // entry needs it, so the agent may forget it. It is void if the job may have ended by another run
 // of the same task. If neither is set, the agent keeps the end until the owner of the job
 // acknowledges it.
@@ -309,7 +309,7 @@
 // A job that is unknown here may just have been accepted by another entry. Its row was stored
 // before the run began, so a poll of the changes that is sent after the first question shows it.
 // Until such a poll is answered, neither is set.
-func (c *Core) Settle(now time.Time, end runs.End) (noted, void bool) {
+func (c *Core) ResolveEnd(now time.Time, end runs.End) (noted, void bool) {
 	c.now = now
 	j := c.jobs[end.Key.Job()]
 	switch {
@@ -317,7 +317,7 @@
 		return c.isConfirmedAbsent(end.Key.Job()), false
 	case !j.row.State.Ended():
 		return false, false
-	case j.row.State == batch.JobCancelled, end.How != runs.Done && end.How != runs.Failed, j.row.isCounted(end.Key):
+	case j.row.State == batch.JobCancelled, end.Outcome != runs.OutcomeDone && end.Outcome != runs.OutcomeFailed, j.row.isCounted(end.Key):
 		return true, false
 	}
 	return false, true
@@ -349,13 +349,13 @@
 
 func (c *Core) refuse(id RequestID, name, queue string, kind errkind.Kind, reason string) {
 	c.answer(id, kind)
-	c.out.Notes = append(c.out.Notes, Note{Event: "refuse", Job: name, Queue: queue, Reason: reason, Age: c.now.Sub(c.confirmedAt)})
+	c.out.Decisions = append(c.out.Decisions, Decision{Event: "refuse", Job: name, Queue: queue, Reason: reason, ConfirmationAge: c.now.Sub(c.confirmedAt)})
 }
 
 func (c *Core) logDecision(j *job, event, reason string) {
-	c.out.Notes = append(c.out.Notes, Note{
+	c.out.Decisions = append(c.out.Decisions, Decision{
 		Event: event, Job: j.name, Queue: j.row.Queue, Version: j.version, Epoch: j.row.Epoch, Reason: reason,
-		Age: c.now.Sub(c.confirmedAt),
+		ConfirmationAge: c.now.Sub(c.confirmedAt),
 	})
 }
 
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -21,21 +21,21 @@
 
 func newCore() *Core {
 	return New(Settings{
-		Self: self, OwnFor: 5 * time.Second, RunsOver: time.Second, SilentAfter: 2 * time.Second, KeepEnded: time.Minute, MaxOpen: 2,
+		Self: self, OwnershipTTL: 5 * time.Second, RunExpiry: time.Second, SilenceTimeout: 2 * time.Second, EndedRetention: time.Minute, MaxOpenJobs: 2,
 	}, start)
 }
 
 // newLoadedCore returns a core that has read the given rows and whose ownership is confirmed at
 // start.
-func newLoadedCore(rows ...Stored) *Core {
+func newLoadedCore(rows ...StoredRow) *Core {
 	c := newCore()
-	c.Load(start, rows, start)
+	c.LoadRows(start, rows, start)
 	c.Flush()
 	return c
 }
 
-func rowOfPeer(job string, version uint64) Stored {
-	return Stored{Job: job, Version: version, Row: &Row{Queue: "q", Owner: other, Epoch: 1, Steps: []batch.Step{{Count: 1}}}}
+func rowOfPeer(job string, version uint64) StoredRow {
+	return StoredRow{Job: job, Version: version, Row: &Row{Queue: "q", Owner: other, Epoch: 1, Steps: []batch.Step{{Count: 1}}}}
 }
 
 // acceptJob accepts a new job and returns the write of its row.
@@ -48,7 +48,7 @@
 func newCoreOwning(job string) *Core {
 	c := newLoadedCore()
 	w := acceptJob(c, start, 1, job)
-	c.Written(start, w, Outcome{Fate: Applied, Version: 7})
+	c.HandleWriteResult(start, w, WriteResult{Status: Applied, Version: 7})
 	c.Flush()
 	return c
 }
@@ -57,14 +57,14 @@
 	is := is.New(t)
 	c := newLoadedCore()
 	w := acceptJob(c, start, 1, "j")
-	is.Equal(w.Expect, uint64(0)) // the row must not exist
+	is.Equal(w.ExpectVersion, uint64(0)) // the row must not exist
 	_, known := c.State("j")
 	is.True(!known)
-	c.Written(after(5), w, Outcome{Fate: Applied, Version: 7})
+	c.HandleWriteResult(after(5), w, WriteResult{Status: Applied, Version: 7})
 	out := c.Flush()
 	is.Equal(out.Answers, []Answer{{Request: 1, Kind: errkind.OK}})
-	is.Equal(out.Owns[0].Job, "j")
-	is.True(out.Owns[0].SafeAt.IsZero())
+	is.Equal(out.Acquired[0].Job, "j")
+	is.True(out.Acquired[0].SafeAt.IsZero())
 	c.Accept(after(10), 2, "j", &Row{Queue: "q"}) // a repeated request
 	out = c.Flush()
 	is.Equal(out.Answers, []Answer{{Request: 2, Kind: errkind.OK}})
@@ -75,7 +75,7 @@
 	is := is.New(t)
 	c := newLoadedCore()
 	w := acceptJob(c, start, 1, "j")
-	c.Written(after(5), w, Outcome{Fate: NotDone})
+	c.HandleWriteResult(after(5), w, WriteResult{Status: Rejected})
 	is.Equal(c.Flush().Answers, []Answer{{Request: 1, Kind: errkind.StoreUnavailable}})
 	_, known := c.State("j")
 	is.True(!known)
@@ -85,20 +85,20 @@
 	is := is.New(t)
 	c := newLoadedCore()
 	w := acceptJob(c, start, 1, "j")
-	c.Written(after(5), w, Outcome{Fate: Conflict, Current: rowOfPeer("j", 4)})
+	c.HandleWriteResult(after(5), w, WriteResult{Status: Conflict, Current: rowOfPeer("j", 4)})
 	out := c.Flush()
 	is.Equal(out.Answers, []Answer{{Request: 1, Kind: errkind.OK}})
-	is.Equal(len(out.Owns), 0)
+	is.Equal(len(out.Acquired), 0)
 }
 
 func TestOwnWriteIsRecognisedAfterALostAnswer(t *testing.T) {
 	is := is.New(t)
 	c := newLoadedCore()
 	w := acceptJob(c, start, 1, "j")
-	c.Written(after(5), w, Outcome{Fate: Conflict, Current: Stored{Job: "j", Row: w.Row, Version: 9}})
+	c.HandleWriteResult(after(5), w, WriteResult{Status: Conflict, Current: StoredRow{Job: "j", Row: w.Row, Version: 9}})
 	out := c.Flush()
 	is.Equal(out.Answers, []Answer{{Request: 1, Kind: errkind.OK}})
-	is.Equal(len(out.Owns), 1)
+	is.Equal(len(out.Acquired), 1)
 }
 
 func TestAcceptRefusesBeforeLoadAndAboveMaxOpen(t *testing.T) {
@@ -116,20 +116,20 @@
 func TestOneRecordIsWrittenAtATime(t *testing.T) {
 	is := is.New(t)
 	c := newCoreOwning("j")
-	c.Record(after(10), batch.Record{Job: "j", Seq: 1, State: batch.JobRunning})
+	c.SaveRecord(after(10), batch.Record{Job: "j", Seq: 1, State: batch.JobRunning})
 	first := c.Flush().Writes[0]
-	is.Equal(first.Expect, uint64(7))
-	c.Record(after(11), batch.Record{Job: "j", Seq: 2, State: batch.JobRunning})
-	c.Record(after(12), batch.Record{Job: "j", Seq: 3, State: batch.JobDone})
+	is.Equal(first.ExpectVersion, uint64(7))
+	c.SaveRecord(after(11), batch.Record{Job: "j", Seq: 2, State: batch.JobRunning})
+	c.SaveRecord(after(12), batch.Record{Job: "j", Seq: 3, State: batch.JobDone})
 	is.Equal(len(c.Flush().Writes), 0)
-	c.Written(after(15), first, Outcome{Fate: Applied, Version: 8})
+	c.HandleWriteResult(after(15), first, WriteResult{Status: Applied, Version: 8})
 	out := c.Flush()
-	is.Equal(out.Stored, []Stores{{Job: "j", Seq: 1}})
+	is.Equal(out.StoredRecords, []StoredRecord{{Job: "j", Seq: 1}})
 	is.Equal(out.Writes[0].Row.State, batch.JobDone) // the newest record includes the earlier ones
-	is.Equal(out.Writes[0].Expect, uint64(8))
+	is.Equal(out.Writes[0].ExpectVersion, uint64(8))
 	state, _ := c.State("j")
 	is.Equal(state, batch.JobRunning) // shown as done only once that is stored
-	c.Written(after(20), out.Writes[0], Outcome{Fate: Applied, Version: 9})
+	c.HandleWriteResult(after(20), out.Writes[0], WriteResult{Status: Applied, Version: 9})
 	state, _ = c.State("j")
 	is.Equal(state, batch.JobDone)
 }
@@ -139,9 +139,9 @@
 	c := newCoreOwning("j")
 	taken := rowOfPeer("j", 9)
 	taken.Row.Epoch = 2
-	c.Learn(after(100), []Stored{taken}, after(90))
-	is.Equal(c.Flush().Disowns, []string{"j"})
-	c.Record(after(110), batch.Record{Job: "j", Seq: 1, State: batch.JobDone})
+	c.ApplyChanges(after(100), []StoredRow{taken}, after(90))
+	is.Equal(c.Flush().Lost, []string{"j"})
+	c.SaveRecord(after(110), batch.Record{Job: "j", Seq: 1, State: batch.JobDone})
 	is.Equal(len(c.Flush().Writes), 0)
 }
 
@@ -151,7 +151,7 @@
 	c.Cancel(after(10), 5, "j")
 	w := c.Flush().Writes[0]
 	is.Equal(w.Row.State, batch.JobCancelled)
-	c.Written(after(15), w, Outcome{Fate: Applied, Version: 8})
+	c.HandleWriteResult(after(15), w, WriteResult{Status: Applied, Version: 8})
 	out := c.Flush()
 	is.Equal(out.Answers, []Answer{{Request: 5, Kind: errkind.OK}})
 	is.Equal(out.Cancelled, []string{"j"})
@@ -163,33 +163,33 @@
 func TestTakeoverFromSilentEntryWaitsForItsOwnershipToExpire(t *testing.T) {
 	is := is.New(t)
 	c := newLoadedCore(rowOfPeer("j", 4))
-	c.Peers(start, []runs.Entry{other})
+	c.RecordAlive(start, []runs.Entry{other})
 	c.Tick(after(1000))
 	is.Equal(len(c.Flush().Writes), 0) // heard within SilentAfter
 	c.Tick(after(3000))
 	w := c.Flush().Writes[0]
 	is.Equal(w.Row.Owner, self)
 	is.Equal(w.Row.Epoch, uint64(2))
-	c.Written(after(3005), w, Outcome{Fate: Applied, Version: 8})
+	c.HandleWriteResult(after(3005), w, WriteResult{Status: Applied, Version: 8})
 	out := c.Flush()
-	is.Equal(out.Owns[0].SafeAt, after(3005).Add(6*time.Second)) // OwnFor and RunsOver
+	is.Equal(out.Acquired[0].SafeAt, after(3005).Add(6*time.Second)) // OwnFor and RunsOver
 }
 
 func TestTakeoverFromReplacedProcessWaitsForItsRunsOnly(t *testing.T) {
 	is := is.New(t)
 	c := newLoadedCore(rowOfPeer("j", 4))
-	c.Peers(start, []runs.Entry{{Address: other.Address, Incarnation: 3}})
+	c.RecordAlive(start, []runs.Entry{{Address: other.Address, Incarnation: 3}})
 	var w Write
 	for ms := 200; w.Row == nil && ms < 4000; ms += 200 { // the delay depends on the takeover rank
-		c.Peers(after(ms), []runs.Entry{{Address: other.Address, Incarnation: 3}})
-		c.Learn(after(ms), nil, after(ms))
+		c.RecordAlive(after(ms), []runs.Entry{{Address: other.Address, Incarnation: 3}})
+		c.ApplyChanges(after(ms), nil, after(ms))
 		c.Tick(after(ms))
 		if out := c.Flush(); len(out.Writes) > 0 {
 			w = out.Writes[0]
 		}
 	}
-	c.Written(after(4000), w, Outcome{Fate: Applied, Version: 8})
-	is.Equal(c.Flush().Owns[0].SafeAt, after(4000).Add(time.Second)) // RunsOver alone
+	c.HandleWriteResult(after(4000), w, WriteResult{Status: Applied, Version: 8})
+	is.Equal(c.Flush().Acquired[0].SafeAt, after(4000).Add(time.Second)) // RunsOver alone
 }
 
 func TestNoTakeoverWithoutConfirmedOwnership(t *testing.T) {
@@ -202,27 +202,27 @@
 func TestStoppedJobRestartsOnceOwnershipIsConfirmed(t *testing.T) {
 	is := is.New(t)
 	c := newCoreOwning("j")
-	c.GaveUp(after(5000), "j")
+	c.HandleOwnershipExpired(after(5000), "j")
 	c.Tick(after(5200))
-	is.Equal(len(c.Flush().Owns), 0)
-	c.Learn(after(6000), nil, after(5990))
-	is.Equal(c.Flush().Owns[0].SafeAt, after(6000).Add(time.Second))
+	is.Equal(len(c.Flush().Acquired), 0)
+	c.ApplyChanges(after(6000), nil, after(5990))
+	is.Equal(c.Flush().Acquired[0].SafeAt, after(6000).Add(time.Second))
 }
 
 func TestUnknownJobIsResolvedByAPollSentAfterTheQuestion(t *testing.T) {
 	is := is.New(t)
 	c := newLoadedCore()
-	end := runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, How: runs.Done}
-	noted, void := c.Settle(after(100), end)
+	end := runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, Outcome: runs.OutcomeDone}
+	noted, void := c.ResolveEnd(after(100), end)
 	is.True(!noted && !void) // another entry may have accepted the job meanwhile
-	c.Learn(after(200), nil, after(90))
-	noted, _ = c.Settle(after(210), end)
+	c.ApplyChanges(after(200), nil, after(90))
+	noted, _ = c.ResolveEnd(after(210), end)
 	is.True(!noted) // that poll was sent before the question
-	c.Learn(after(300), nil, after(250))
-	noted, _ = c.Settle(after(310), end)
+	c.ApplyChanges(after(300), nil, after(250))
+	noted, _ = c.ResolveEnd(after(310), end)
 	is.True(noted)
 	end.Key.Task = "j.0.0.1" // the finding holds for all tasks of the job
-	noted, _ = c.Settle(after(320), end)
+	noted, _ = c.ResolveEnd(after(320), end)
 	is.True(noted)
 }
 
@@ -232,11 +232,11 @@
 	done.Row.State = batch.JobDone
 	done.Row.Progress = []batch.TaskProgress{{Done: true, Run: 2}}
 	c := newLoadedCore(done)
-	noted, void := c.Settle(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 2}, How: runs.Done})
+	noted, void := c.ResolveEnd(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 2}, Outcome: runs.OutcomeDone})
 	is.True(noted && !void)
-	noted, void = c.Settle(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, How: runs.Done})
+	noted, void = c.ResolveEnd(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, Outcome: runs.OutcomeDone})
 	is.True(!noted && void) // another run completed the task
-	noted, void = c.Settle(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, How: runs.Stopped})
+	noted, void = c.ResolveEnd(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, Outcome: runs.OutcomeStopped})
 	is.True(noted && !void)
 }
 
@@ -250,7 +250,7 @@
 	c.Tick(after(70_000))
 	w := c.Flush().Writes[0]
 	is.True(w.Row == nil)
-	c.Written(after(70_005), w, Outcome{Fate: Applied, Version: 9})
+	c.HandleWriteResult(after(70_005), w, WriteResult{Status: Applied, Version: 9})
 	_, known := c.State("j")
 	is.True(!known)
 }
--- a/core/ledger/row.go
+++ b/core/ledger/row.go
@@ -38,8 +38,8 @@
 	return r, eris.Wrap(cbor.Unmarshal(raw, r), "decode row of durable job")
 }
 
-// Stored is a row together with its key and version in the store.
-type Stored struct {
+// StoredRow is a row together with its key and version in the store.
+type StoredRow struct {
 	Job string
 	// Row is nil if the row was removed.
 	Row *Row
@@ -51,8 +51,8 @@
 // Write is a conditional change of a row.
 type Write struct {
 	Job string
-	// Expect is the version that the row must have; 0 if the row must not exist.
-	Expect uint64
+	// ExpectVersion is the version that the row must have; 0 if the row must not exist.
+	ExpectVersion uint64
 	// Row is the new content; nil removes the row.
 	Row *Row
 	// Urgent is set if a request waits for the write. An urgent write that the store rejects
@@ -62,24 +62,24 @@
 	seq    uint64
 }
 
-// Fate is the status of a write.
-type Fate uint8
+// WriteStatus is the status of a write.
+type WriteStatus uint8
 
 // Statuses of a write.
 const (
 	// Applied means that the write was carried out.
-	Applied Fate = iota + 1
+	Applied WriteStatus = iota + 1
 	// Conflict means that the row has another version than expected; nothing was changed.
 	Conflict
-	// NotDone means that the store has rejected the write; nothing was changed, nor will be later.
-	NotDone
+	// Rejected means that the store has rejected the write; nothing was changed, nor will be later.
+	Rejected
 )
 
-// Outcome is the result of a write.
-type Outcome struct {
-	Fate Fate
+// WriteResult is the result of a write.
+type WriteResult struct {
+	Status WriteStatus
 	// Version is the new version of the row if the write was applied.
 	Version uint64
 	// Current is the row that the write has met if there was a conflict.
-	Current Stored
+	Current StoredRow
 }
--- a/core/ledger/write.go
+++ b/core/ledger/write.go
@@ -16,7 +16,7 @@
 	if row.State.Ended() {
 		row.Spec, row.Steps = "", nil
 	}
-	w := Write{Job: j.name, Expect: j.version, Row: &row, Urgent: urgent, id: c.lastWriteID, seq: seq}
+	w := Write{Job: j.name, ExpectVersion: j.version, Row: &row, Urgent: urgent, id: c.lastWriteID, seq: seq}
 	j.pendingWrite = &w
 	c.out.Writes = append(c.out.Writes, w)
 }
@@ -54,23 +54,23 @@
 	j.cancelRequests = nil
 }
 
-// Written handles the result of a write.
-func (c *Core) Written(now time.Time, w Write, o Outcome) {
+// HandleWriteResult handles the result of a write.
+func (c *Core) HandleWriteResult(now time.Time, w Write, o WriteResult) {
 	c.now = now
 	j := c.jobs[w.Job]
 	if j == nil || j.pendingWrite == nil || j.pendingWrite.id != w.id {
 		return // the changes have already shown the result
 	}
-	if o.Fate == Conflict && o.Current.Row != nil && c.isFromWrite(w, o.Current.Row) {
-		o = Outcome{Fate: Applied, Version: o.Current.Version}
+	if o.Status == Conflict && o.Current.Row != nil && c.isFromWrite(w, o.Current.Row) {
+		o = WriteResult{Status: Applied, Version: o.Current.Version}
 	}
-	switch o.Fate {
+	switch o.Status {
 	case Applied:
 		c.handleApplied(j, w, o.Version)
 	case Conflict:
 		j.pendingWrite = nil
 		c.handleConflict(j, w, o.Current)
-	case NotDone:
+	case Rejected:
 		j.pendingWrite = nil
 		c.handleRejected(j, w)
 	}
@@ -93,7 +93,7 @@
 	j.row = w.Row
 	j.version = version
 	if w.seq > 0 {
-		c.out.Stored = append(c.out.Stored, Stores{Job: j.name, Seq: w.seq})
+		c.out.StoredRecords = append(c.out.StoredRecords, StoredRecord{Job: j.name, Seq: w.seq})
 	}
 	switch {
 	case inserted:
@@ -123,14 +123,14 @@
 	if !j.needsStart || !c.isConfirmed() || !c.isOwned(j) || j.row.State.Ended() {
 		return
 	}
-	acquired := Own{Job: j.name, Row: j.row}
+	acquired := Acquisition{Job: j.name, Row: j.row}
 	if j.startDelay > 0 {
 		acquired.SafeAt = c.now.Add(j.startDelay)
 	}
 	j.needsStart = false
 	j.startDelay = 0
 	j.running = true
-	c.out.Owns = append(c.out.Owns, acquired)
+	c.out.Acquired = append(c.out.Acquired, acquired)
 }
 
 // handleRowChange acts on a new content of a job's row.
@@ -141,7 +141,7 @@
 		j.running = false
 		j.pendingRecord = nil
 		c.logDecision(j, "taken by another entry", j.row.Owner.Address)
-		c.out.Disowns = append(c.out.Disowns, j.name)
+		c.out.Lost = append(c.out.Lost, j.name)
 	case j.running && j.row.State == batch.JobCancelled:
 		j.running = false
 		j.pendingRecord = nil
@@ -157,7 +157,7 @@
 }
 
 // handleConflict handles a write that has met another version of the row than it expected.
-func (c *Core) handleConflict(j *job, w Write, current Stored) {
+func (c *Core) handleConflict(j *job, w Write, current StoredRow) {
 	if current.Row == nil {
 		// The row was removed after its retention.
 		c.answerCancels(j)
--- a/core/membership/membership.go
+++ b/core/membership/membership.go
@@ -71,11 +71,11 @@
 
 // SetShort sets whether this entry is short of agents.
 func (v *View) SetShort(short bool) Change {
-	if v.self.Entry.Short == short {
+	if v.self.Entry.ShortOfAgents == short {
 		return Change{}
 	}
 	self := v.self
-	self.Entry.Short = short
+	self.Entry.ShortOfAgents = short
 	return v.updateSelf(self, v.self.Serial)
 }
 
@@ -92,17 +92,17 @@
 // digest, others have different ones.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Len returns the number of live entries, this one included.
-func (v *View) Len() int { return v.alive }
+// AliveCount returns the number of live entries, this one included.
+func (v *View) AliveCount() int { return v.alive }
 
-// Gone reports whether an entry is known and gone.
-func (v *View) Gone(address string) bool {
+// IsGone reports whether an entry is known and gone.
+func (v *View) IsGone(address string) bool {
 	m := v.members.Get(address)
 	return m != nil && m.record.Gone
 }
 
-// Lives reports whether another entry is known and alive.
-func (v *View) Lives(address string) bool {
+// IsAlive reports whether another entry is known and alive.
+func (v *View) IsAlive(address string) bool {
 	m := v.members.Get(address)
 	return m != nil && !m.record.Gone
 }
@@ -129,8 +129,8 @@
 	return list
 }
 
-// Hear merges records that another entry has sent.
-func (v *View) Hear(now time.Time, records []runs.Member) Change {
+// Merge merges records that another entry has sent.
+func (v *View) Merge(now time.Time, records []runs.Member) Change {
 	var ch Change
 	for _, r := range records {
 		if r.Entry.Address == v.self.Entry.Address {
@@ -195,8 +195,8 @@
 	}
 }
 
-// Lost declares an entry gone whose gossip stream to this entry was lost.
-func (v *View) Lost(now time.Time, address string) Change {
+// MarkGone declares an entry gone whose gossip stream to this entry was lost.
+func (v *View) MarkGone(now time.Time, address string) Change {
 	var ch Change
 	m := v.members.Get(address)
 	if m == nil || m.record.Gone {
@@ -208,8 +208,8 @@
 	return ch
 }
 
-// Forget removes the records of entries that have been gone for longer than goneRetention.
-func (v *View) Forget(now time.Time) {
+// ForgetGone removes the records of entries that have been gone for longer than goneRetention.
+func (v *View) ForgetGone(now time.Time) {
 	for address, m := range v.members.All() {
 		if m.record.Gone && now.Sub(m.goneAt) > goneRetention {
 			v.members.Delete(address)
@@ -217,8 +217,8 @@
 	}
 }
 
-// Addresses returns the addresses of the other live entries in alphabetical order.
-func (v *View) Addresses() []string {
+// AliveAddresses returns the addresses of the other live entries in alphabetical order.
+func (v *View) AliveAddresses() []string {
 	var list []string
 	for address, m := range v.members.All() {
 		if !m.record.Gone {
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -22,34 +22,34 @@
 	is := is.New(t)
 	v := New(entry(1))
 	alone := v.Digest()
-	ch := v.Hear(start, []runs.Member{{Entry: entry(2), Serial: 1}})
+	ch := v.Merge(start, []runs.Member{{Entry: entry(2), Serial: 1}})
 	is.Equal(ch.Joined, []runs.Entry{entry(2)})
-	is.Equal(len(v.Hear(start, []runs.Member{{Entry: entry(2), Serial: 1}}).Records), 0) // nothing new
+	is.Equal(len(v.Merge(start, []runs.Member{{Entry: entry(2), Serial: 1}}).Records), 0) // nothing new
 	is.Equal(v.Alive(), []runs.Entry{entry(1), entry(2)})
-	ch = v.Lost(start, entry(2).Address)
+	ch = v.MarkGone(start, entry(2).Address)
 	is.Equal(ch.Gone, []runs.Entry{entry(2)})
-	is.Equal(v.Len(), 1)
+	is.Equal(v.AliveCount(), 1)
 	is.Equal(v.Digest(), alone)
-	is.Equal(len(v.Hear(start, []runs.Member{{Entry: entry(2), Serial: 1}}).Records), 0) // an older record from another entry
-	is.Equal(len(v.Hear(start, []runs.Member{{Entry: entry(2), Serial: 2}}).Joined), 1)
+	is.Equal(len(v.Merge(start, []runs.Member{{Entry: entry(2), Serial: 1}}).Records), 0) // an older record from another entry
+	is.Equal(len(v.Merge(start, []runs.Member{{Entry: entry(2), Serial: 2}}).Joined), 1)
 }
 
 func TestLiveEntryOutranksRecordThatItIsGone(t *testing.T) {
 	is := is.New(t)
 	v := New(entry(1))
-	ch := v.Hear(start, []runs.Member{{Entry: entry(1), Serial: 1, Gone: true}})
+	ch := v.Merge(start, []runs.Member{{Entry: entry(1), Serial: 1, Gone: true}})
 	is.Equal(ch.Records, []runs.Member{{Entry: entry(1), Serial: 2}})
-	is.Equal(len(v.Hear(start, []runs.Member{{Entry: entry(1), Serial: 1, Gone: true}}).Records), 0)
+	is.Equal(len(v.Merge(start, []runs.Member{{Entry: entry(1), Serial: 1, Gone: true}}).Records), 0)
 }
 
 func TestNewProcessOutranksThePreviousOneAtItsAddress(t *testing.T) {
 	is := is.New(t)
 	previous := runs.Member{Entry: runs.Entry{Address: entry(1).Address, Incarnation: 7}, Serial: 5}
 	other := New(entry(2))
-	other.Hear(start, []runs.Member{previous})
+	other.Merge(start, []runs.Member{previous})
 	fresh := New(entry(1))
-	fresh.Hear(start, other.Records())
-	ch := other.Hear(start, fresh.Records())
+	fresh.Merge(start, other.Records())
+	ch := other.Merge(start, fresh.Records())
 	is.Equal(ch.Joined, []runs.Entry{entry(1)})
 	is.Equal(len(ch.Gone), 0)
 	is.Equal(other.Digest(), fresh.Digest())
@@ -58,26 +58,26 @@
 func TestGoneEntriesAreForgotten(t *testing.T) {
 	is := is.New(t)
 	v := New(entry(1))
-	v.Hear(start, []runs.Member{{Entry: entry(2), Serial: 1}})
-	v.Lost(start, entry(2).Address)
-	v.Forget(start.Add(goneRetention))
+	v.Merge(start, []runs.Member{{Entry: entry(2), Serial: 1}})
+	v.MarkGone(start, entry(2).Address)
+	v.ForgetGone(start.Add(goneRetention))
 	is.Equal(len(v.Records()), 2)
-	v.Forget(start.Add(goneRetention + time.Second))
+	v.ForgetGone(start.Add(goneRetention + time.Second))
 	is.Equal(len(v.Records()), 1)
-	is.Equal(len(v.Hear(start, []runs.Member{{Entry: entry(2), Serial: 1, Gone: true}}).Records), 0) // unknown and gone
+	is.Equal(len(v.Merge(start, []runs.Member{{Entry: entry(2), Serial: 1, Gone: true}}).Records), 0) // unknown and gone
 }
 
 func TestShortEntryIsAnnounced(t *testing.T) {
 	is := is.New(t)
 	v, other := New(entry(1)), New(entry(2))
-	other.Hear(start, v.Records())
+	other.Merge(start, v.Records())
 	ch := v.SetShort(true)
 	is.Equal(len(v.SetShort(true).Records), 0)
-	joined := other.Hear(start, ch.Records).Joined
+	joined := other.Merge(start, ch.Records).Joined
 	is.Equal(len(joined), 1)
-	is.True(joined[0].Short)
-	is.Equal(len(other.Hear(start, v.SetShort(false).Records).Joined), 1)
-	is.True(!other.Alive()[1].Short)
+	is.True(joined[0].ShortOfAgents)
+	is.Equal(len(other.Merge(start, v.SetShort(false).Records).Joined), 1)
+	is.True(!other.Alive()[1].ShortOfAgents)
 }
 
 // network is a set of views that exchange their records with their neighbours in rounds.
@@ -104,8 +104,8 @@
 				continue
 			}
 			x, y := w.views[a], w.views[b]
-			y.Hear(start, x.Records())
-			x.Hear(start, y.Records())
+			y.Merge(start, x.Records())
+			x.Merge(start, y.Records())
 		}
 	}
 }
@@ -120,7 +120,7 @@
 		for range rapid.IntRange(0, 20).Draw(t, "losses") {
 			a := w.all[rapid.IntRange(0, n-1).Draw(t, "who")]
 			b := w.all[rapid.IntRange(0, n-1).Draw(t, "whom")]
-			w.views[a].Lost(start, b)
+			w.views[a].MarkGone(start, b)
 			if rapid.Bool().Draw(t, "round") {
 				w.round()
 			}
@@ -129,8 +129,8 @@
 			w.round()
 		}
 		for _, address := range w.all {
-			if v := w.views[address]; v.Len() != n || v.Digest() != w.views[w.all[0]].Digest() {
-				t.Fatalf("%s knows %d of %d", address, v.Len(), n)
+			if v := w.views[address]; v.AliveCount() != n || v.Digest() != w.views[w.all[0]].Digest() {
+				t.Fatalf("%s knows %d of %d", address, v.AliveCount(), n)
 			}
 		}
 	})
@@ -148,18 +148,18 @@
 	w.partitioned[away] = true
 	for _, a := range w.all {
 		if a != away {
-			w.views[a].Lost(start, away)
-			w.views[away].Lost(start, a)
+			w.views[a].MarkGone(start, away)
+			w.views[away].MarkGone(start, a)
 		}
 	}
 	w.round()
-	is.Equal(w.views[w.all[0]].Len(), 19)
-	is.Equal(w.views[away].Len(), 1)
+	is.Equal(w.views[w.all[0]].AliveCount(), 19)
+	is.Equal(w.views[away].AliveCount(), 1)
 	w.partitioned[away] = false
 	for range 4 {
 		w.round()
 	}
 	for _, a := range w.all {
-		is.Equal(w.views[a].Len(), 20)
+		is.Equal(w.views[a].AliveCount(), 20)
 	}
 }
--- a/core/policy/policy.go
+++ b/core/policy/policy.go
@@ -63,8 +63,8 @@
 // Policy says which mechanisms are enabled. The zero value enables all.
 type Policy struct{ disabled map[Mechanism]bool }
 
-// Has reports whether a mechanism is enabled.
-func (p Policy) Has(m Mechanism) bool { return !p.disabled[m] }
+// Enabled reports whether a mechanism is enabled.
+func (p Policy) Enabled(m Mechanism) bool { return !p.disabled[m] }
 
 // Without returns the policy that disables the mechanisms of the given names. It fails if a name is
 // unknown.
@@ -80,5 +80,5 @@
 	return p, nil
 }
 
-// Missing returns the disabled mechanisms, sorted by name.
-func (p Policy) Missing() []Mechanism { return slices.Sorted(maps.Keys(p.disabled)) }
+// Disabled returns the disabled mechanisms, sorted by name.
+func (p Policy) Disabled() []Mechanism { return slices.Sorted(maps.Keys(p.disabled)) }
--- a/core/protocol/checker_test.go
+++ b/core/protocol/checker_test.go
@@ -130,7 +130,7 @@
 	if s.closedRow == nil || s.closedRow.Phase != claim.Closed {
 		return
 	}
-	if o := s.closedRow.Outcome; o.Tasks[e.ID.Index].Ran != errkind.Unknown {
+	if o := s.closedRow.Outcome; o.Tasks[e.ID.Index].Ran != errkind.MaybeRan {
 		c.violationf("%v started after the outcome recorded it as %s", e.ID, o.Tasks[e.ID.Index].Ran)
 	}
 }
@@ -259,7 +259,7 @@
 				c.violationf("%s: request was never answered", r.submission)
 			}
 		}
-		if n := e.core.Open(); n > 0 {
+		if n := e.core.OpenSubmissions(); n > 0 {
 			c.violationf("%s: %d submissions never ended", e.id, n)
 		}
 	}
--- a/core/protocol/simulation_test.go
+++ b/core/protocol/simulation_test.go
@@ -240,7 +240,7 @@
 		Labels: map[string]string{"name": a.id},
 	}
 	a.core = announcedCore{agentcore.New(agentcore.Settings{
-		Info: info, FenceMemory: 90 * time.Second, ResultRetention: 10 * time.Minute, ResultBytes: 1 << 20,
+		Info: info, TombstoneRetention: 90 * time.Second, ResultRetention: 10 * time.Minute, MaxResultBytes: 1 << 20,
 	}), info}
 	for _, e := range sim.entries {
 		sim.schedule(sim.networkDelay()*10, func() { sim.connect(e, a) })
@@ -264,7 +264,7 @@
 		sim.schedule(sim.networkDelay()*30, func() {
 			proc.deliver(func() {
 				if e.proc == proc {
-					e.core.AgentGone(sim.now, id)
+					e.core.AgentEnded(sim.now, id)
 					e.flush()
 				}
 			})
@@ -279,7 +279,7 @@
 	for _, send := range out.Sends {
 		sim.sendToEntry(proc, send)
 	}
-	for _, e := range out.Executes {
+	for _, e := range out.Executions {
 		a.execute(proc, e)
 	}
 }
@@ -334,7 +334,7 @@
 	core := a.core
 	sim.schedule(run, func() {
 		sim.check.recordEnd(started)
-		proc.deliver(func() { a.handle(proc, core.Finished(sim.now, e.ID, done)) })
+		proc.deliver(func() { a.handle(proc, core.ExecutionFinished(sim.now, e.ID, done)) })
 	})
 }
 
@@ -389,7 +389,7 @@
 		if !proc.alive {
 			return
 		}
-		proc.deliver(func() { grouper.Reachable(!sim.table.down) })
+		proc.deliver(func() { grouper.ReportReachable(!sim.table.down) })
 		sim.schedule(500*time.Millisecond, poll)
 	}
 	sim.schedule(500*time.Millisecond, poll)
@@ -468,7 +468,7 @@
 				return // a link comes up by itself
 			}
 		}
-		proc.deliver(func() { e.core.AgentGone(sim.now, d.ID); e.flush() })
+		proc.deliver(func() { e.core.AgentEnded(sim.now, d.ID); e.flush() })
 	})
 }
 
@@ -476,7 +476,7 @@
 func (e *simEntry) askOwner(ask dispatch.PeerAwait) {
 	sim := e.sim
 	proc := e.proc
-	respond := func(status dispatch.PeerFate, reply *wire.AwaitReply) {
+	respond := func(status dispatch.PeerStatus, reply *wire.AwaitReply) {
 		sim.schedule(sim.networkDelay(), func() {
 			proc.deliver(func() { e.core.PeerReplied(sim.now, ask.Submission, ask.Owner.Incarnation, status, reply); e.flush() })
 		})
@@ -492,7 +492,7 @@
 		return
 	}
 	if owner.proc.paused {
-		sim.schedule(500*time.Millisecond, func() { respond(dispatch.PeerSilent, nil) })
+		sim.schedule(500*time.Millisecond, func() { respond(dispatch.PeerTimedOut, nil) })
 		return
 	}
 	sim.schedule(sim.networkDelay(), func() { owner.serveAwait(ask, respond) })
@@ -500,7 +500,7 @@
 
 // serveAwait answers a question of another entry when the submission ends, after two seconds at the
 // latest.
-func (e *simEntry) serveAwait(ask dispatch.PeerAwait, respond func(dispatch.PeerFate, *wire.AwaitReply)) {
+func (e *simEntry) serveAwait(ask dispatch.PeerAwait, respond func(dispatch.PeerStatus, *wire.AwaitReply)) {
 	sim := e.sim
 	if !e.proc.alive {
 		respond(dispatch.PeerRefused, nil)
@@ -508,7 +508,7 @@
 	}
 	e.nextReq++
 	id := e.nextReq
-	if !e.core.Watch(ask.Submission, id) {
+	if !e.core.AddWaiter(ask.Submission, id) {
 		respond(dispatch.PeerAnswered, &wire.AwaitReply{})
 		return
 	}
@@ -516,7 +516,7 @@
 	r := &request{
 		submission: ask.Submission,
 		answerPeer: func(o *wire.Outcome) { respond(dispatch.PeerAnswered, &wire.AwaitReply{Known: true, Outcome: o}) },
-		failPeer:   func() { respond(dispatch.PeerSilent, nil) },
+		failPeer:   func() { respond(dispatch.PeerTimedOut, nil) },
 	}
 	e.openRequests[id] = r
 	sim.schedule(2*time.Second, func() {
@@ -524,7 +524,7 @@
 			return
 		}
 		delete(e.openRequests, id)
-		proc.deliver(func() { e.core.Unwatch(ask.Submission, id) })
+		proc.deliver(func() { e.core.RemoveWaiter(ask.Submission, id) })
 		respond(dispatch.PeerAnswered, &wire.AwaitReply{Known: true})
 	})
 	if ask.Cancel {
--- a/core/protocol/table_test.go
+++ b/core/protocol/table_test.go
@@ -33,7 +33,7 @@
 	sim := t.sim
 	proc, grouper := e.proc, e.grouper
 	finished := false
-	done := func(status group.Fate, version uint64, conflicts []group.Conflict) {
+	done := func(status group.TxnStatus, version uint64, conflicts []group.Conflict) {
 		proc.deliver(func() {
 			if finished {
 				return
@@ -45,7 +45,7 @@
 	}
 	sim.schedule(tableTimeout, func() { done(group.Lost, 0, nil) })
 	if t.down {
-		sim.schedule(sim.networkDelay(), func() { done(group.Refused, 0, nil) })
+		sim.schedule(sim.networkDelay(), func() { done(group.NotApplied, 0, nil) })
 		return
 	}
 	if sim.rng.IntN(100) < t.lossPercent {
@@ -65,7 +65,7 @@
 }
 
 // apply applies a transaction, or none of its writes if one conflicts.
-func (t *simTable) apply(g *group.Group) (group.Fate, uint64, []group.Conflict) {
+func (t *simTable) apply(g *group.Group) (group.TxnStatus, uint64, []group.Conflict) {
 	var conflicts []group.Conflict
 	for i, write := range g.Writes {
 		s, ok := t.rows[write.Row.Submission]
--- a/core/rank/agent.go
+++ b/core/rank/agent.go
@@ -53,18 +53,18 @@
 	Slots      int
 	// Leaving is set if the agent accepts no new tasks.
 	Leaving bool
-	// Home is set if this entry is the home of the agent, the entry that mainly uses it.
-	Home bool
+	// IsHome is set if this entry is the home of the agent, the entry that mainly uses it.
+	IsHome bool
 	// Down is set while there is no link to the agent.
 	Down bool
 
-	// Reported is the number of tasks at the agent by its last load report.
-	Reported int
+	// ReportedTasks is the number of tasks at the agent by its last load report.
+	ReportedTasks int
 	// othersLoad is the number of tasks of other entries at the agent, as of reportedAt.
 	othersLoad float64
 	reportedAt time.Time
-	// InFlight is the number of tasks that this entry has sent and that are not answered yet.
-	InFlight int
+	// TasksInFlight is the number of tasks that this entry has sent and that are not answered yet.
+	TasksInFlight int
 
 	// slowness is the mean ratio of run times here to the mean of the kind; zero before the first
 	// result.
@@ -90,8 +90,8 @@
 	probeInFlight bool
 }
 
-// Ejected reports whether the agent gets no tasks except probes.
-func (a *Agent) Ejected() bool { return a.ejected }
+// IsEjected reports whether the agent gets no tasks except probes.
+func (a *Agent) IsEjected() bool { return a.ejected }
 
 // Slowness returns the mean ratio of run times here to the mean of the kind over all agents; 1 if
 // none is measured.
@@ -102,11 +102,11 @@
 	return a.slowness
 }
 
-// Report records a load report of a: the number of tasks there, and how many of them are of this
+// RecordLoad records a load report of a: the number of tasks there, and how many of them are of this
 // entry.
-func (p *Pool) Report(now time.Time, a *Agent, total, mine int) {
+func (p *Pool) RecordLoad(now time.Time, a *Agent, total, mine int) {
 	a.othersLoad = float64(max(0, total-mine))
-	a.Reported = total
+	a.ReportedTasks = total
 	a.reportedAt = now
 	p.utilization += utilizationWeight * (float64(total)/float64(a.Slots) - p.utilization)
 }
@@ -114,13 +114,13 @@
 // utilizationWeight is the weight of one load report in Pool.utilization.
 const utilizationWeight = 0.02
 
-// Sent records that a task was sent to the agent.
-func (a *Agent) Sent() { a.InFlight++ }
+// RecordSent records that a task was sent to the agent.
+func (a *Agent) RecordSent() { a.TasksInFlight++ }
 
-// Answered records that a task sent to the agent was answered or given up.
-func (a *Agent) Answered() {
-	if a.InFlight > 0 {
-		a.InFlight--
+// RecordAnswered records that a task sent to the agent was answered or given up.
+func (a *Agent) RecordAnswered() {
+	if a.TasksInFlight > 0 {
+		a.TasksInFlight--
 	}
 }
 
@@ -128,12 +128,12 @@
 // of others. The reported load of others decays with the mean run time towards the load that the
 // utilization of all agents predicts.
 func (p *Pool) Load(now time.Time, a *Agent) float64 {
-	own := float64(a.InFlight)
+	own := float64(a.TasksInFlight)
 	others := a.othersLoad
 	if age := now.Sub(a.reportedAt); a.meanRun > 0 && age > 0 {
 		remaining := math.Exp(-float64(age) / float64(a.meanRun))
 		expected := max(0, p.utilization*float64(a.Slots)-own)
-		if a.Home {
+		if a.IsHome {
 			expected = 0 // other entries send few tasks to an agent whose home they are not
 		}
 		others = others*remaining + expected*(1-remaining)
@@ -163,8 +163,8 @@
 	return !a.probeInFlight && !now.Before(a.probeAt)
 }
 
-// Probing records that a task was sent to the agent, which is a probe if the agent is ejected.
-func (a *Agent) Probing() {
+// RecordProbe records that a task was sent to the agent, which is a probe if the agent is ejected.
+func (a *Agent) RecordProbe() {
 	if a.ejected {
 		a.probeInFlight = true
 	}
--- a/core/rank/home.go
+++ b/core/rank/home.go
@@ -13,7 +13,7 @@
 // same agents.
 const roundRobinUpTo = 64
 
-// SetHomes assigns one of the entries to each agent as its home, and sets Agent.Home where that is
+// SetHomes assigns one of the entries to each agent as its home, and sets Agent.IsHome where that is
 // self.
 func (p *Pool) SetHomes(self string, entries []string) {
 	if len(entries) == 0 {
@@ -28,6 +28,6 @@
 		if len(agents) > roundRobinUpTo {
 			home = hashing.Lookup(a.ID.Agent)
 		}
-		a.Home = home == self
+		a.IsHome = home == self
 	}
 }
--- a/core/rank/learn.go
+++ b/core/rank/learn.go
@@ -47,9 +47,9 @@
 	return time.Duration(p.meanRun)
 }
 
-// SlowAfter returns the run time that few tasks of the kind exceed, or zero if there are too few
+// StragglerThreshold returns the run time that few tasks of the kind exceed, or zero if there are too few
 // results.
-func (p *Pool) SlowAfter(kind Kind) time.Duration {
+func (p *Pool) StragglerThreshold(kind Kind) time.Duration {
 	k := p.kinds[kind]
 	if k == nil || k.samples < 4*minSamples {
 		return 0
@@ -57,9 +57,9 @@
 	return time.Duration(k.highRun)
 }
 
-// Succeeded records the run time of a task that completed at a. A probe that ran in normal time
+// RecordSuccess records the run time of a task that completed at a. A probe that ran in normal time
 // ends the ejection of a; an agent that has become too slow is ejected.
-func (p *Pool) Succeeded(now time.Time, a *Agent, kind Kind, run time.Duration) {
+func (p *Pool) RecordSuccess(now time.Time, a *Agent, kind Kind, run time.Duration) {
 	k := p.statsOf(kind)
 	ratio := 1.0
 	if k.samples > 0 && k.meanRun > 0 {
@@ -85,9 +85,9 @@
 	}
 }
 
-// Overdue adds delta to the number of overdue tasks at a: 1 for a task that runs far too long, -1
+// AddOverdue adds delta to the number of overdue tasks at a: 1 for a task that runs far too long, -1
 // when such a task is answered or given up.
-func (a *Agent) Overdue(delta int) { a.overdueTasks = max(0, a.overdueTasks+delta) }
+func (a *Agent) AddOverdue(delta int) { a.overdueTasks = max(0, a.overdueTasks+delta) }
 
 // hasTooManyOverdue reports whether overdue tasks take maxOverdueShare of the slots of a or more.
 func (a *Agent) hasTooManyOverdue() bool {
@@ -100,8 +100,8 @@
 	a.probeAt = now.Add(a.probePause)
 }
 
-// Failed records a task that ran at a and failed. It returns true if a is ejected because of it.
-func (p *Pool) Failed(now time.Time, a *Agent, kind Kind) bool {
+// RecordFailure records a task that ran at a and failed. It returns true if a is ejected because of it.
+func (p *Pool) RecordFailure(now time.Time, a *Agent, kind Kind) bool {
 	k := p.statsOf(kind)
 	k.failRate += failRateWeight * (1 - k.failRate)
 	a.probeInFlight = false
--- a/core/rank/rank.go
+++ b/core/rank/rank.go
@@ -51,14 +51,14 @@
 	// AwayMargin is the number of slots, beyond the one for the task, that must be expected to be
 	// free at an away agent. It falls linearly to zero while the task waits for the mean run time.
 	AwayMargin float64
-	// AwayRefuse asks away agents to refuse a task rather than queue it. This shortens the wait,
+	// AwayNoWait asks away agents to refuse a task rather than queue it. This shortens the wait,
 	// for two more messages.
-	AwayRefuse bool
+	AwayNoWait bool
 	// LocalDataCentre is the data centre of the entry.
 	LocalDataCentre string
-	// Drained are the data centres whose agents get no new tasks. Policies Random and RoundRobin
+	// DrainedDataCentres are the data centres whose agents get no new tasks. Policies Random and RoundRobin
 	// ignore it.
-	Drained []string
+	DrainedDataCentres []string
 	// CrossLatency is the round-trip time to another data centre.
 	CrossLatency time.Duration
 	// DefaultRunTime is assumed for a kind without measured run times.
@@ -68,7 +68,7 @@
 // DefaultParams returns the parameters that apply unless configured otherwise.
 func DefaultParams() Params {
 	return Params{
-		Policy: Finish, MaxFullScan: 16, SampleSize: 6, QueueAllowance: 0, PreferHomes: true, AwayMargin: 2, AwayRefuse: true,
+		Policy: Finish, MaxFullScan: 16, SampleSize: 6, QueueAllowance: 0, PreferHomes: true, AwayMargin: 2, AwayNoWait: true,
 		CrossLatency: 2 * time.Millisecond, DefaultRunTime: 200 * time.Millisecond,
 	}
 }
@@ -82,8 +82,8 @@
 // Kind identifies an operation of a service.
 type Kind struct{ Service, Name string }
 
-// Ask describes the task for which an agent is picked.
-type Ask struct {
+// PickRequest describes the task for which an agent is picked.
+type PickRequest struct {
 	Requirement
 	Kind Kind
 	// Waited is how long the task has waited so far.
@@ -91,8 +91,8 @@
 	// Spare is the number of slots that the task must leave free at each agent, for teams that use
 	// less than their share.
 	Spare float64
-	// Avoid are agents that the task must not be sent to.
-	Avoid []ID
+	// AvoidAgents are agents that the task must not be sent to.
+	AvoidAgents []ID
 }
 
 // requirementKey identifies the set of agents that are feasible for a requirement.
@@ -196,10 +196,10 @@
 // maxCachedRequirements is the number of entries in feasibleCache from which the cache is cleared.
 const maxCachedRequirements = 4096
 
-// Best returns the agents for which a submission of n tasks may be claimed: linked ones that are
+// ClaimCandidates returns the agents for which a submission of n tasks may be claimed: linked ones that are
 // not leaving. If no more than MaxFullScan agents are feasible, it returns all such agents;
 // otherwise as many as n tasks need plus the number of spares, from a random place in the list.
-func (p *Pool) Best(r Requirement, n, spares int) []*Agent {
+func (p *Pool) ClaimCandidates(r Requirement, n, spares int) []*Agent {
 	feasible := p.Feasible(r)
 	if len(feasible) <= p.params.MaxFullScan {
 		return p.takeAvailable(feasible, 0, len(feasible), len(feasible))
@@ -235,19 +235,19 @@
 	NoWait bool
 	// Spare is the number of slots that the agent has to leave free if it accepts the task.
 	Spare int
-	// Finish and RunnerUpFinish are the expected times to completion. Policies that compare loads
+	// ExpectedTime and RunnerUpFinish are the expected times to completion. Policies that compare loads
 	// set the estimated load instead, with one second per task.
-	Finish, RunnerUpFinish time.Duration
+	ExpectedTime, RunnerUpExpectedTime time.Duration
 }
 
 // Pick chooses an agent for a task. Choice.Agent is nil if none of the agents compared can take the
 // task: each is full, ejected, leaving, without a link, in a drained data centre or in ask.Avoid.
-func (p *Pool) Pick(now time.Time, ask *Ask) Choice {
+func (p *Pool) Pick(now time.Time, ask *PickRequest) Choice {
 	return p.pickFrom(now, p.Feasible(ask.Requirement), ask)
 }
 
 // PickAmong is Pick restricted to the given agents.
-func (p *Pool) PickAmong(now time.Time, among []*Agent, ask *Ask) Choice {
+func (p *Pool) PickAmong(now time.Time, among []*Agent, ask *PickRequest) Choice {
 	p.scratch = p.scratch[:0]
 	for _, a := range among {
 		if a.Service == ask.Service && ask.Selector.Matches(a.Labels) {
@@ -259,12 +259,12 @@
 
 // pickFrom chooses among feasible agents by the policy. The Finish policy tries the agents whose
 // home is this entry first.
-func (p *Pool) pickFrom(now time.Time, feasible []*Agent, ask *Ask) Choice {
+func (p *Pool) pickFrom(now time.Time, feasible []*Agent, ask *PickRequest) Choice {
 	switch p.params.Policy {
 	case Random:
-		return p.pickRandom(feasible, ask.Avoid)
+		return p.pickRandom(feasible, ask.AvoidAgents)
 	case RoundRobin:
-		return p.pickRoundRobin(feasible, ask.Avoid)
+		return p.pickRoundRobin(feasible, ask.AvoidAgents)
 	case TwoChoices:
 		return p.pickSampled(now, feasible, ask, 2, byLoad)
 	case LeastLoaded:
@@ -274,13 +274,13 @@
 		return choice.withSpare(ask)
 	}
 	choice := p.pickSampled(now, feasible, ask, p.sampleSize(feasible), byFinish)
-	choice.NoWait = p.params.PreferHomes && p.params.AwayRefuse && choice.Agent != nil && !choice.Agent.Home && !p.hasWaitedLong(ask.Waited)
+	choice.NoWait = p.params.PreferHomes && p.params.AwayNoWait && choice.Agent != nil && !choice.Agent.IsHome && !p.hasWaitedLong(ask.Waited)
 	return choice.withSpare(ask)
 }
 
 // withSpare has the agent enforce that ask.Spare slots are left free, since the load known here may
 // be out of date.
-func (c Choice) withSpare(ask *Ask) Choice {
+func (c Choice) withSpare(ask *PickRequest) Choice {
 	if ask.Spare > 0 {
 		c.NoWait = true
 		c.Spare = int(ask.Spare)
@@ -298,13 +298,13 @@
 
 // pickHome chooses among the agents whose home is this entry. Their load is known best, since few
 // other entries send to them.
-func (p *Pool) pickHome(now time.Time, feasible []*Agent, ask *Ask) Choice {
+func (p *Pool) pickHome(now time.Time, feasible []*Agent, ask *PickRequest) Choice {
 	if !p.params.PreferHomes {
 		return Choice{}
 	}
 	p.homeScratch = p.homeScratch[:0]
 	for _, a := range feasible {
-		if a.Home {
+		if a.IsHome {
 			p.homeScratch = append(p.homeScratch, a)
 		}
 	}
@@ -321,7 +321,7 @@
 
 // pickSampled chooses the best of sample agents: from a random start if all are compared, otherwise
 // drawn at random with replacement.
-func (p *Pool) pickSampled(now time.Time, feasible []*Agent, ask *Ask, sample int, by scoring) Choice {
+func (p *Pool) pickSampled(now time.Time, feasible []*Agent, ask *PickRequest, sample int, by scoring) Choice {
 	var choice Choice
 	if len(feasible) == 0 {
 		return choice
@@ -338,7 +338,7 @@
 			index = p.rng.IntN(len(feasible))
 		}
 		a := feasible[index]
-		if !p.isUsable(now, a, ask, by) || containsID(ask.Avoid, a.ID) {
+		if !p.isUsable(now, a, ask, by) || containsID(ask.AvoidAgents, a.ID) {
 			continue
 		}
 		choice.consider(a, p.score(now, a, run, by))
@@ -348,8 +348,8 @@
 
 // isUsable reports whether a may be given the task now. Policies that compare loads only check that
 // a is linked, not leaving and not in a drained data centre.
-func (p *Pool) isUsable(now time.Time, a *Agent, ask *Ask, by scoring) bool {
-	if a.Leaving || a.Down || slices.Contains(p.params.Drained, a.DataCentre) {
+func (p *Pool) isUsable(now time.Time, a *Agent, ask *PickRequest, by scoring) bool {
+	if a.Leaving || a.Down || slices.Contains(p.params.DrainedDataCentres, a.DataCentre) {
 		return false
 	}
 	if by == byLoad {
@@ -359,7 +359,7 @@
 		return false
 	}
 	limit := float64(a.Slots+p.params.QueueAllowance) - ask.Spare
-	if p.params.PreferHomes && !a.Home {
+	if p.params.PreferHomes && !a.IsHome {
 		limit -= p.params.AwayMargin * max(0, 1-float64(ask.Waited)/float64(p.MeanRunTime()))
 	}
 	return p.Load(now, a)+1 <= limit
@@ -385,11 +385,11 @@
 // consider updates the best and the second best agent by a.
 func (c *Choice) consider(a *Agent, finish time.Duration) {
 	switch {
-	case c.Agent == nil || finish < c.Finish:
-		c.RunnerUp, c.RunnerUpFinish = c.Agent, c.Finish
-		c.Agent, c.Finish = a, finish
-	case a != c.Agent && (c.RunnerUp == nil || finish < c.RunnerUpFinish):
-		c.RunnerUp, c.RunnerUpFinish = a, finish
+	case c.Agent == nil || finish < c.ExpectedTime:
+		c.RunnerUp, c.RunnerUpExpectedTime = c.Agent, c.ExpectedTime
+		c.Agent, c.ExpectedTime = a, finish
+	case a != c.Agent && (c.RunnerUp == nil || finish < c.RunnerUpExpectedTime):
+		c.RunnerUp, c.RunnerUpExpectedTime = a, finish
 	}
 }
 
