--- a/core/rank/rank_test.go
+++ b/core/rank/rank_test.go
@@ -36,35 +36,35 @@
 func TestPicksTheLeastLoaded(t *testing.T) {
 	is := is.New(t)
 	p := newPool(3)
-	p.Report(start, p.Agents()[0], 5, 0)
-	p.Report(start, p.Agents()[2], 7, 0)
-	is.Equal(p.Pick(start, &Ask{Requirement: requirement(t, ""), Kind: scan}).Agent, p.Agents()[1])
-	is.Equal(p.Pick(start, &Ask{Requirement: requirement(t, "rack=0"), Kind: Kind{}, Avoid: []ID{p.Agents()[1].ID}}).Agent, p.Agents()[0])
+	p.RecordLoad(start, p.Agents()[0], 5, 0)
+	p.RecordLoad(start, p.Agents()[2], 7, 0)
+	is.Equal(p.Pick(start, &PickRequest{Requirement: requirement(t, ""), Kind: scan}).Agent, p.Agents()[1])
+	is.Equal(p.Pick(start, &PickRequest{Requirement: requirement(t, "rack=0"), Kind: Kind{}, AvoidAgents: []ID{p.Agents()[1].ID}}).Agent, p.Agents()[0])
 }
 
 func TestFullAgentsAreNotPicked(t *testing.T) {
 	is := is.New(t)
 	p := newPool(1)
 	for range 8 {
-		p.Agents()[0].Sent()
+		p.Agents()[0].RecordSent()
 	}
-	is.True(p.Pick(start, &Ask{Requirement: requirement(t, ""), Kind: scan}).Agent == nil)
-	p.Agents()[0].Answered()
-	is.True(p.Pick(start, &Ask{Requirement: requirement(t, ""), Kind: scan}).Agent != nil)
+	is.True(p.Pick(start, &PickRequest{Requirement: requirement(t, ""), Kind: scan}).Agent == nil)
+	p.Agents()[0].RecordAnswered()
+	is.True(p.Pick(start, &PickRequest{Requirement: requirement(t, ""), Kind: scan}).Agent != nil)
 }
 
 func TestAgentsInADrainedDataCentreAreNotPicked(t *testing.T) {
 	is := is.New(t)
 	p := newPool(2)
 	p.Agents()[0].DataCentre, p.Agents()[1].DataCentre = "a", "b"
-	ask := &Ask{Requirement: requirement(t, ""), Kind: scan}
+	ask := &PickRequest{Requirement: requirement(t, ""), Kind: scan}
 	params := DefaultParams()
-	params.Drained = []string{"a"}
+	params.DrainedDataCentres = []string{"a"}
 	p.Configure(params)
 	for range 20 {
 		is.Equal(p.Pick(start, ask).Agent, p.Agents()[1])
 	}
-	params.Drained = []string{"a", "b"}
+	params.DrainedDataCentres = []string{"a", "b"}
 	p.Configure(params)
 	is.True(p.Pick(start, ask).Agent == nil)
 	is.Equal(len(p.Feasible(ask.Requirement)), 2) // the task has to wait; it is not infeasible
@@ -76,15 +76,15 @@
 	p.SetHomes("entry", []string{"entry", "other"})
 	home, away := p.Agents()[0], p.Agents()[1]
 	for range 8 {
-		home.Sent()
+		home.RecordSent()
 	}
-	p.Report(start, away, 6, 0)
-	is.True(p.Pick(start, &Ask{Requirement: requirement(t, ""), Kind: scan}).Agent == nil) // 6 + 1 + margin 2 exceeds 8
-	choice := p.Pick(start, &Ask{Requirement: requirement(t, ""), Kind: scan, Waited: p.MeanRunTime()})
+	p.RecordLoad(start, away, 6, 0)
+	is.True(p.Pick(start, &PickRequest{Requirement: requirement(t, ""), Kind: scan}).Agent == nil) // 6 + 1 + margin 2 exceeds 8
+	choice := p.Pick(start, &PickRequest{Requirement: requirement(t, ""), Kind: scan, Waited: p.MeanRunTime()})
 	is.Equal(choice.Agent, away)
 	is.True(!choice.NoWait) // a task that has waited long is to be queued
-	p.Report(start, away, 1, 0)
-	is.True(p.Pick(start, &Ask{Requirement: requirement(t, ""), Kind: scan}).NoWait)
+	p.RecordLoad(start, away, 1, 0)
+	is.True(p.Pick(start, &PickRequest{Requirement: requirement(t, ""), Kind: scan}).NoWait)
 }
 
 func TestFailingAgentIsEjectedAndRestoredByProbe(t *testing.T) {
@@ -92,17 +92,17 @@
 	p := newPool(11)
 	bad := p.Agents()[4]
 	for range ejectFailures - 1 {
-		is.True(!p.Failed(start, bad, scan))
+		is.True(!p.RecordFailure(start, bad, scan))
 	}
-	is.True(p.Failed(start, bad, scan))
-	is.True(bad.Ejected())
-	is.True(!p.isUsable(start, bad, &Ask{}, byFinish))
+	is.True(p.RecordFailure(start, bad, scan))
+	is.True(bad.IsEjected())
+	is.True(!p.isUsable(start, bad, &PickRequest{}, byFinish))
 	later := start.Add(minProbePause)
-	is.True(p.isUsable(later, bad, &Ask{}, byFinish))
-	bad.Probing()
-	is.True(!p.isUsable(later, bad, &Ask{}, byFinish)) // a probe is in flight
-	p.Succeeded(later, bad, scan, 100*time.Millisecond)
-	is.True(!bad.Ejected())
+	is.True(p.isUsable(later, bad, &PickRequest{}, byFinish))
+	bad.RecordProbe()
+	is.True(!p.isUsable(later, bad, &PickRequest{}, byFinish)) // a probe is in flight
+	p.RecordSuccess(later, bad, scan, 100*time.Millisecond)
+	is.True(!bad.IsEjected())
 }
 
 func TestEjectionIsCapped(t *testing.T) {
@@ -111,9 +111,9 @@
 	ejected := 0
 	for _, a := range p.Agents() {
 		for range ejectFailures {
-			p.Failed(start, a, Kind{Name: a.ID.Agent})
+			p.RecordFailure(start, a, Kind{Name: a.ID.Agent})
 		}
-		if a.Ejected() {
+		if a.IsEjected() {
 			ejected++
 		}
 	}
@@ -124,21 +124,21 @@
 	is := is.New(t)
 	p := newPool(11)
 	for i := range 100 {
-		p.Succeeded(start, p.Agents()[i%10], scan, 100*time.Millisecond)
+		p.RecordSuccess(start, p.Agents()[i%10], scan, 100*time.Millisecond)
 	}
 	for range ejectSlownessSamples {
-		p.Succeeded(start, p.Agents()[10], scan, time.Second)
+		p.RecordSuccess(start, p.Agents()[10], scan, time.Second)
 	}
-	is.True(p.Agents()[10].Ejected())
+	is.True(p.Agents()[10].IsEjected())
 }
 
 func TestOverdueTasksExcludeAnAgent(t *testing.T) {
 	is := is.New(t)
 	p := newPool(1)
-	p.Agents()[0].Overdue(1)
-	is.True(p.isUsable(start, p.Agents()[0], &Ask{}, byFinish))
-	p.Agents()[0].Overdue(1)
-	is.True(!p.isUsable(start, p.Agents()[0], &Ask{}, byFinish))
+	p.Agents()[0].AddOverdue(1)
+	is.True(p.isUsable(start, p.Agents()[0], &PickRequest{}, byFinish))
+	p.Agents()[0].AddOverdue(1)
+	is.True(!p.isUsable(start, p.Agents()[0], &PickRequest{}, byFinish))
 }
 
 func TestHomesAreAssignedEvenly(t *testing.T) {
@@ -150,7 +150,7 @@
 		p.SetHomes(self, entries)
 		n := 0
 		for _, a := range p.Agents() {
-			if a.Home {
+			if a.IsHome {
 				n++
 			}
 		}
@@ -164,7 +164,7 @@
 	is := is.New(t)
 	p := newPool(540)
 	r := requirement(t, "rack in (1,2,3,4,5,6,7,8,9),cores>8")
-	ask := &Ask{Requirement: r, Kind: scan}
+	ask := &PickRequest{Requirement: r, Kind: scan}
 	p.Pick(start, ask)
 	is.Equal(testing.AllocsPerRun(100, func() { p.Pick(start, ask) }), 0.0)
 }
@@ -175,7 +175,7 @@
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
 			p := newPool(agents)
 			r := requirement(b, "cores>8,rack notin (7)")
-			ask := &Ask{Requirement: r, Kind: scan}
+			ask := &PickRequest{Requirement: r, Kind: scan}
 			b.ReportAllocs()
 			for b.Loop() {
 				p.Pick(start, ask)
@@ -188,8 +188,8 @@
 func BenchmarkPickAmong(b *testing.B) {
 	p := newPool(540)
 	r := requirement(b, "cores>8,rack notin (7)")
-	among := p.Best(r, 140, 3)
-	ask := &Ask{Requirement: r, Kind: scan}
+	among := p.ClaimCandidates(r, 140, 3)
+	ask := &PickRequest{Requirement: r, Kind: scan}
 	b.ReportAllocs()
 	for b.Loop() {
 		p.PickAmong(start, among, ask)
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -26,12 +26,12 @@
 
 // Numbers of rows in one read.
 const (
-	// Few is the number of rows that an agent without links to entries reads: a single live entry
+	// AgentReadLimit is the number of rows that an agent without links to entries reads: a single live entry
 	// tells it of all others.
-	Few = 3
-	// Followers is the number of rows that an entry reads from its own position on, its own row
+	AgentReadLimit = 3
+	// EntryReadLimit is the number of rows that an entry reads from its own position on, its own row
 	// included.
-	Followers = 16
+	EntryReadLimit = 16
 )
 
 // Row is the registration of one entry.
@@ -41,18 +41,18 @@
 	Version uint64
 }
 
-// Place returns the ring position of an address.
-func Place(address string) uint64 { return xxh3.HashString(address) }
+// RingPosition returns the ring position of an address.
+func RingPosition(address string) uint64 { return xxh3.HashString(address) }
 
 // Key returns the key of the row of an address.
-func Key(address string) string { return From(Place(address)) + "/" + address }
+func Key(address string) string { return FirstKey(RingPosition(address)) + "/" + address }
 
-// From returns the first key at a ring position.
-func From(position uint64) string { return fmt.Sprintf("%016x", position) }
+// FirstKey returns the first key at a ring position.
+func FirstKey(position uint64) string { return fmt.Sprintf("%016x", position) }
 
-// SearchPlace returns the ring position from which an agent reads at its given attempt to find
+// SearchPosition returns the ring position from which an agent reads at its given attempt to find
 // entries.
-func SearchPlace(agent string, attempt int) uint64 {
+func SearchPosition(agent string, attempt int) uint64 {
 	return xxh3.HashString(fmt.Sprintf("%s/%d", agent, attempt))
 }
 
@@ -75,9 +75,9 @@
 // NewWatch returns a Watch for an entry that has not read any rows.
 func NewWatch(self runs.Entry) *Watch { return &Watch{self: self} }
 
-// Read takes the rows from this entry's own position on, in ring order. It returns the stale rows
+// Update takes the rows from this entry's own position on, in ring order. It returns the stale rows
 // to remove, and whether this entry's own row is missing, so that it has to register again.
-func (w *Watch) Read(rows []Row, alive func(address string) bool) (remove []Row, missing bool) {
+func (w *Watch) Update(rows []Row, alive func(address string) bool) (remove []Row, missing bool) {
 	stale := make(map[string]staleRow)
 	missing, responsible := true, true
 	for _, r := range rows {
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -31,7 +31,7 @@
 		keys = append(keys, k)
 	}
 	sort.Strings(keys)
-	at := sort.SearchStrings(keys, From(position))
+	at := sort.SearchStrings(keys, FirstKey(position))
 	var list []Row
 	for n := range min(limit, len(keys)) {
 		list = append(list, s.rows[keys[(at+n)%len(keys)]])
@@ -70,7 +70,7 @@
 			continue
 		}
 		for address, w := range watches {
-			stale, missing := w.Read(s.readFrom(Place(address), Followers), func(a string) bool { return alive[a] })
+			stale, missing := w.Update(s.readFrom(RingPosition(address), EntryReadLimit), func(a string) bool { return alive[a] })
 			is.True(!missing)
 			for _, r := range stale {
 				is.True(!alive[r.Entry.Address])
@@ -93,9 +93,9 @@
 		for i := range n {
 			s.register(entryOf(i))
 		}
-		is.Equal(len(s.readFrom(Place(entryOf(0).Address), Followers)), Followers)
-		is.Equal(len(s.readFrom(SearchPlace("a", 1), Few)), Few)
-		is.Equal(s.rowsRead, Followers+Few)
+		is.Equal(len(s.readFrom(RingPosition(entryOf(0).Address), EntryReadLimit)), EntryReadLimit)
+		is.Equal(len(s.readFrom(SearchPosition("a", 1), AgentReadLimit)), AgentReadLimit)
+		is.Equal(s.rowsRead, EntryReadLimit+AgentReadLimit)
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 	asked := make(map[string]int)
 	for a := range 804 {
-		for _, r := range s.readFrom(SearchPlace(fmt.Sprint("agent", a), 0), Few) {
+		for _, r := range s.readFrom(SearchPosition(fmt.Sprint("agent", a), 0), AgentReadLimit) {
 			asked[r.Entry.Address]++
 		}
 	}
@@ -126,11 +126,11 @@
 	w := NewWatch(self)
 	dead := func(string) bool { return false }
 	for v := range uint64(10) { // the entry restarts between any two reads
-		stale, _ := w.Read([]Row{{self, 1}, {other, v}}, dead)
+		stale, _ := w.Update([]Row{{self, 1}, {other, v}}, dead)
 		is.Equal(len(stale), 0)
 	}
 	for n := range staleReads {
-		stale, _ := w.Read([]Row{{self, 1}, {other, 9}}, dead)
+		stale, _ := w.Update([]Row{{self, 1}, {other, 9}}, dead)
 		is.Equal(len(stale) > 0, n >= staleReads-2)
 	}
 }
@@ -139,13 +139,13 @@
 	is := is.New(t)
 	self := entryOf(1)
 	w := NewWatch(self)
-	_, missing := w.Read(nil, nil)
+	_, missing := w.Update(nil, nil)
 	is.True(missing)
 	previous := self
 	previous.Incarnation = 99
-	_, missing = w.Read([]Row{{previous, 1}}, nil)
+	_, missing = w.Update([]Row{{previous, 1}}, nil)
 	is.True(missing)
-	_, missing = w.Read([]Row{{self, 1}}, nil)
+	_, missing = w.Update([]Row{{self, 1}}, nil)
 	is.True(!missing)
 }
 
@@ -158,7 +158,7 @@
 	alive := func(a string) bool { return a != stale.Address }
 	w := NewWatch(far)
 	for range 5 {
-		list, _ := w.Read(rows, alive)
+		list, _ := w.Update(rows, alive)
 		is.Equal(len(list), 0)
 	}
 }
--- a/core/runner/capacity.go
+++ b/core/runner/capacity.go
@@ -12,14 +12,14 @@
 	left := c.worker.info.Capacity
 	for r := range c.runs.Values() {
 		if r.phase != phaseWaiting {
-			left = left.Minus(r.need)
+			left = left.Sub(r.need)
 		}
 	}
 	for _, r := range append(runQueue(nil), c.queue...) {
 		if left.Fits(r.need) {
-			left = left.Minus(r.need)
+			left = left.Sub(r.need)
 			continue
 		}
-		c.terminate(r, runs.NoRoom)
+		c.terminate(r, runs.ReasonNoCapacity)
 	}
 }
--- a/core/runner/capacity_test.go
+++ b/core/runner/capacity_test.go
@@ -20,16 +20,16 @@
 	h := newHarness(t)
 	out := h.send(start, "t1", "t2")
 	for _, o := range out.Orders {
-		h.Ordered(after(1), o, Answer{Verdict: Accepted, Clock: 5001})
+		h.OrderAnswered(after(1), o, Answer{Status: Accepted, Clock: 5001})
 	}
-	h.Announced(after(2), workerWithCores(1), 5002)
+	h.WorkerAnnounced(after(2), workerWithCores(1), 5002)
 	out = h.Flush(after(2))
 	h.is.Equal(out.Sends[0].Msg.Load.Free.CPU, -1000)
 	h.is.Equal(out.Sends[0].Msg.Worker.Capacity.CPU, 1000)
 	h.is.Equal(len(startsOf(h.send(after(3), "t3"))), 0)
-	h.pollAt(after(4), Listing{Running: []Running{{Key: key("t2")}}, Ended: []Ended{{Number: 1, Key: key("t1"), How: runs.Done}}})
+	h.pollAt(after(4), Listing{Running: []Running{{Key: key("t2")}}, Ended: []Ended{{Number: 1, Key: key("t1"), Outcome: runs.OutcomeDone}}})
 	h.is.Equal(len(startsOf(h.Flush(after(4)))), 0) // t2 occupies all of it
-	h.pollAt(after(5), Listing{Ended: []Ended{{Number: 2, Key: key("t2"), How: runs.Done}}})
+	h.pollAt(after(5), Listing{Ended: []Ended{{Number: 2, Key: key("t2"), Outcome: runs.OutcomeDone}}})
 	h.is.Equal(startsOf(h.Flush(after(5))), []runs.Key{key("t3")})
 }
 
@@ -37,10 +37,10 @@
 	h := newHarness(t)
 	out := h.send(start, "t1", "t2")
 	for _, o := range out.Orders {
-		h.Ordered(after(1), o, Answer{Verdict: Accepted, Clock: 5001})
+		h.OrderAnswered(after(1), o, Answer{Status: Accepted, Clock: 5001})
 	}
 	h.Receive(after(2), 1, &runs.ToAgent{Clock: after(2).UnixNano(), Stops: []runs.Key{key("t1")}})
-	h.Announced(after(2), workerWithCores(2), 5002)
+	h.WorkerAnnounced(after(2), workerWithCores(2), 5002)
 	h.is.Equal(len(startsOf(h.send(after(3), "t3"))), 0)
 }
 
@@ -48,18 +48,18 @@
 func TestWaitingRunThatNoLongerFitsIsRefused(t *testing.T) {
 	h := newHarness(t)
 	h.send(start, "t1", "t2", "t3")
-	h.Announced(after(2), workerWithCores(1), 5002)
+	h.WorkerAnnounced(after(2), workerWithCores(1), 5002)
 	list := ends(h.Flush(after(2)))
 	h.is.Equal(len(list), 1)
 	h.is.Equal(list[0].Key, key("t3"))
-	h.is.Equal(list[0].How, runs.Refused)
-	h.is.Equal(list[0].Reason, runs.NoRoom)
+	h.is.Equal(list[0].Outcome, runs.OutcomeRefused)
+	h.is.Equal(list[0].Reason, runs.ReasonNoCapacity)
 }
 
 func TestGrownWorkerStartsWaitingRuns(t *testing.T) {
 	h := newHarness(t)
 	h.send(start, "t1", "t2", "t3")
-	h.Announced(after(2), workerWithCores(3), 5002)
+	h.WorkerAnnounced(after(2), workerWithCores(3), 5002)
 	h.is.Equal(startsOf(h.Flush(after(2))), []runs.Key{key("t3")})
 }
 
@@ -67,8 +67,8 @@
 	// The adapter drops delayed announcements by their number. What the registry has may be older
 	// than the last announcement and does not replace it.
 	h := newHarness(t)
-	h.Announced(after(1), workerWithCores(1), 5001)
-	h.Recalled(after(2), workerWithCores(2))
+	h.WorkerAnnounced(after(1), workerWithCores(1), 5001)
+	h.WorkerLoaded(after(2), workerWithCores(2))
 	h.is.Equal(h.worker.info.Capacity.CPU, 1000)
 }
 
@@ -86,7 +86,7 @@
 			switch rapid.IntRange(0, 3).Draw(rt, "event") {
 			case 0:
 				capacity = rapid.IntRange(1, 5).Draw(rt, "cores")
-				h.Announced(after(now), workerWithCores(capacity), int64(5000+now))
+				h.WorkerAnnounced(after(now), workerWithCores(capacity), int64(5000+now))
 				out = h.Flush(after(now))
 			case 1:
 				out = h.send(after(now), string(rune('a'+n)))
@@ -95,7 +95,7 @@
 				for k := range at {
 					ended++
 					delete(at, k)
-					h.pollAt(after(now), Listing{Running: running(at), Ended: []Ended{{Number: ended, Key: k, How: runs.Done}}})
+					h.pollAt(after(now), Listing{Running: running(at), Ended: []Ended{{Number: ended, Key: k, Outcome: runs.OutcomeDone}}})
 					break
 				}
 			case 3:
@@ -103,12 +103,12 @@
 			}
 			for _, k := range startsOf(out) {
 				at[k] = true
-				if used := (room.Room{CPU: 1000 * len(at)}); used.CPU > 1000*capacity {
+				if used := (room.Resources{CPU: 1000 * len(at)}); used.CPU > 1000*capacity {
 					rt.Fatalf("%d runs on %d cores", len(at), capacity)
 				}
 			}
 			for _, o := range out.Orders {
-				h.Ordered(after(now), o, Answer{Verdict: Accepted, Clock: int64(5000 + now)})
+				h.OrderAnswered(after(now), o, Answer{Status: Accepted, Clock: int64(5000 + now)})
 			}
 		}
 	})
--- a/core/runner/core.go
+++ b/core/runner/core.go
@@ -45,23 +45,23 @@
 	OwnerLease time.Duration
 	// WorkerLease is the lease that each start order and each poll requests from the worker.
 	WorkerLease time.Duration
-	// LongestLease is the longest lease that the worker grants; it shortens longer ones. 0 means
+	// MaxWorkerLease is the longest lease that the worker grants; it shortens longer ones. 0 means
 	// that it sets no limit.
-	LongestLease time.Duration
-	// LookWait is how long the worker may hold a poll open while it waits for an end.
-	LookWait time.Duration
-	// AdoptWithin is how long orphans wait to be claimed by an entry before they are stopped.
-	AdoptWithin time.Duration
+	MaxWorkerLease time.Duration
+	// PollWait is how long the worker may hold a poll open while it waits for an end.
+	PollWait time.Duration
+	// AdoptTimeout is how long orphans wait to be claimed by an entry before they are stopped.
+	AdoptTimeout time.Duration
 	// QueueLimit is the greatest number of runs that wait for free capacity.
 	QueueLimit int
-	// Beat is the heartbeat interval on links whose entry has runs here, IdleBeat that on others.
-	Beat, IdleBeat time.Duration
-	// LateFactor is the multiple of its estimated run time after which the owner of a run
+	// HeartbeatInterval is the heartbeat interval on links whose entry has runs here, IdleBeat that on others.
+	HeartbeatInterval, IdleHeartbeatInterval time.Duration
+	// ProgressReportFactor is the multiple of its estimated run time after which the owner of a run
 	// receives progress reports.
-	LateFactor float64
-	// DrainsWithin is the age of the view of drained data centres above which the agent asks the
+	ProgressReportFactor float64
+	// DrainViewMaxAge is the age of the view of drained data centres above which the agent asks the
 	// store itself.
-	DrainsWithin time.Duration
+	DrainViewMaxAge time.Duration
 	// Policy selects the mechanisms in force; production uses all of them.
 	Policy policy.Policy
 }
@@ -79,14 +79,14 @@
 type Output struct {
 	Sends  []Send
 	Orders []Order
-	// Closes are released links whose entries have no runs here.
-	Closes []LinkID
-	// Notes are the decisions for the log.
-	Notes []Note
+	// CloseLinks are released links whose entries have no runs here.
+	CloseLinks []LinkID
+	// Decisions are the decisions for the log.
+	Decisions []Decision
 }
 
-// Note is one decision, to be logged and counted.
-type Note struct {
+// Decision is one decision, to be logged and counted.
+type Decision struct {
 	Event  string
 	Key    runs.Key
 	Entry  string
@@ -98,7 +98,7 @@
 	Version uint64
 	// Worker and Former are the worker's present and its previous incarnation, in decisions about
 	// the worker.
-	Worker, Former runs.Life
+	Worker, Previous runs.Incarnation
 }
 
 // link is a connection to one entry.
@@ -133,7 +133,7 @@
 	queue       runQueue
 	// pendingOwned are the lists of owned runs that entries sent before the worker's runs were
 	// known.
-	pendingOwned ordered.Map[LinkID, []runs.Owned]
+	pendingOwned ordered.Map[LinkID, []runs.OwnedRun]
 	// held are the ends that the worker must go on listing, by their number. See heldEnd.
 	held ordered.Map[int64, *heldEnd]
 	// polledAt is when the last poll was sent.
@@ -203,10 +203,10 @@
 		return true
 	case l.loadOutdated && sinceSent >= c.loadUpdateInterval():
 		return true
-	case sinceSent < c.settings.Beat:
+	case sinceSent < c.settings.HeartbeatInterval:
 		return false
 	}
-	return sinceSent >= c.settings.IdleBeat || c.hasRuns(l.entry.Incarnation)
+	return sinceSent >= c.settings.IdleHeartbeatInterval || c.hasRuns(l.entry.Incarnation)
 }
 
 // loadUpdatesPerSecond limits the messages a second, to all entries together, that carry nothing
@@ -220,11 +220,11 @@
 // loadUpdateInterval returns the shortest interval between load updates on one link. It grows
 // with the number of links, up to the heartbeat interval.
 func (c *Core) loadUpdateInterval() time.Duration {
-	return min(time.Duration(c.links.Len())*time.Second/loadUpdatesPerSecond, c.settings.Beat)
+	return min(time.Duration(c.links.Len())*time.Second/loadUpdatesPerSecond, c.settings.HeartbeatInterval)
 }
 
-// HasNews reports whether the present load has still to be sent to an entry.
-func (c *Core) HasNews() bool {
+// HasUnsentLoad reports whether the present load has still to be sent to an entry.
+func (c *Core) HasUnsentLoad() bool {
 	for l := range c.links.Values() {
 		if l.loadOutdated {
 			return true
@@ -276,15 +276,15 @@
 		c.pendingOwned.Put(id, msg.Owned)
 		c.reconcile()
 	}
-	c.releaseEnds(msg.Noted)
-	c.voidEnds(msg.Void)
+	c.releaseEnds(msg.AckedEnds)
+	c.voidEnds(msg.VoidEnds)
 	for i := range msg.Starts {
 		l.startsReceived++
 		c.admit(l, &msg.Starts[i], msg.Clock)
 	}
-	for _, key := range msg.Withdraws {
+	for _, key := range msg.WithdrawWaiting {
 		if r := c.runs.Get(key); r != nil && r.phase == phaseWaiting && r.owner.Incarnation == l.entry.Incarnation {
-			c.terminate(r, runs.Asked)
+			c.terminate(r, runs.ReasonStopRequested)
 		}
 	}
 	for _, key := range msg.Stops {
@@ -339,7 +339,7 @@
 			continue
 		}
 		c.setEndDeadline(r, c.ownerLeaseEnd(r))
-		c.terminate(r, runs.NoLease)
+		c.terminate(r, runs.ReasonNoLease)
 	}
 }
 
@@ -366,15 +366,15 @@
 func (c *Core) Drain(now time.Time) {
 	c.now = now
 	c.draining = true
-	c.refuseWaiting(runs.Draining)
+	c.refuseWaiting(runs.ReasonDraining)
 	c.sendWorkerToAll()
 }
 
-// Runs returns the number of runs, including waiting ones.
-func (c *Core) Runs() int { return c.runs.Len() }
+// RunCount returns the number of runs, including waiting ones.
+func (c *Core) RunCount() int { return c.runs.Len() }
 
-// Idle reports whether the core has no runs, including waiting ones.
-func (c *Core) Idle() bool { return c.runs.Len() == 0 }
+// IsIdle reports whether the core has no runs, including waiting ones.
+func (c *Core) IsIdle() bool { return c.runs.Len() == 0 }
 
 // NeedsPoll reports whether the worker has to be polled.
 func (c *Core) NeedsPoll() bool {
@@ -398,21 +398,21 @@
 
 // freeCapacity returns the capacity that the runs at the worker leave. It is zero while there are
 // orphans.
-func (c *Core) freeCapacity() room.Room {
+func (c *Core) freeCapacity() room.Resources {
 	left := c.worker.info.Capacity
 	for r := range c.runs.Values() {
 		switch {
 		case r.orphan:
-			return room.Room{} // its size is not known
+			return room.Resources{} // its size is not known
 		case r.phase != phaseWaiting:
-			left = left.Minus(r.need)
+			left = left.Sub(r.need)
 		}
 	}
 	return c.isolatedCapacity(left)
 }
 
-// Owes reports whether the entry of a link has runs here.
-func (c *Core) Owes(id LinkID) bool {
+// EntryHasRuns reports whether the entry of a link has runs here.
+func (c *Core) EntryHasRuns(id LinkID) bool {
 	l := c.links.Get(id)
 	return l != nil && c.hasRuns(l.entry.Incarnation)
 }
--- a/core/runner/crash.go
+++ b/core/runner/crash.go
@@ -14,15 +14,15 @@
 // is over.
 func (c *Core) currentLossReason() runs.Reason {
 	if c.worker.info.Draining || !c.worker.leavingSince.IsZero() {
-		return runs.NoWorker // it announced that it leaves
+		return runs.ReasonNoWorker // it announced that it leaves
 	}
-	return runs.Crashed
+	return runs.ReasonWorkerCrashed
 }
 
 // markSuspect marks the run on which the loss of the worker is blamed, if that is a crash: the
 // last one that has certainly started.
 func (c *Core) markSuspect() {
-	if c.currentLossReason() != runs.Crashed {
+	if c.currentLossReason() != runs.ReasonWorkerCrashed {
 		return
 	}
 	var last *run
@@ -38,14 +38,14 @@
 
 // lossEnd returns the end of a run that was lost with its worker. If its start got no answer, the
 // worker may have been gone before: the run is not blamed then, unless it required to run alone.
-func (c *Core) lossEnd(r *run, how runs.How, reason runs.Reason) runs.End {
-	end := runs.End{Key: r.key, How: how, Reason: reason}
-	if reason != runs.Crashed {
+func (c *Core) lossEnd(r *run, how runs.Outcome, reason runs.Reason) runs.End {
+	end := runs.End{Key: r.key, Outcome: how, Reason: reason}
+	if reason != runs.ReasonWorkerCrashed {
 		return end
 	}
-	began, alone := !r.confirmedAt.IsZero(), r.start.Suspicion == runs.Alone
+	began, alone := !r.confirmedAt.IsZero(), r.start.Isolation == runs.IsolationExclusive
 	if !began && !alone {
-		end.Reason = runs.Lapsed
+		end.Reason = runs.ReasonLeaseExpired
 		return end
 	}
 	end.Suspect = r.suspect || alone
@@ -63,7 +63,7 @@
 func (c *Core) keepExpiredEnds() {
 	for r := range c.runs.Values() {
 		if r.phase != phaseWaiting && !r.orphan && !r.confirmedAt.IsZero() {
-			c.expiredEnds = append(c.expiredEnds, expiredEnd{c.lossEnd(r, runs.Gone, runs.Crashed), r.owner})
+			c.expiredEnds = append(c.expiredEnds, expiredEnd{c.lossEnd(r, runs.OutcomeGone, runs.ReasonWorkerCrashed), r.owner})
 		}
 	}
 }
@@ -106,38 +106,38 @@
 	var i isolation
 	for r := range c.runs.Values() {
 		if r.phase != phaseWaiting {
-			i.add(r.start.Suspicion)
+			i.add(r.start.Isolation)
 		}
 	}
 	return i
 }
 
 // add counts a run that is at the worker or starts there.
-func (i *isolation) add(s runs.Suspicion) {
+func (i *isolation) add(s runs.Isolation) {
 	i.running++
-	if s != runs.Trusted {
+	if s != runs.IsolationNone {
 		i.suspects++
 	}
-	i.exclusive = i.exclusive || s == runs.Alone
+	i.exclusive = i.exclusive || s == runs.IsolationExclusive
 }
 
 // admits reports whether a run with the given suspicion may start.
-func (i *isolation) admits(s runs.Suspicion) bool {
+func (i *isolation) admits(s runs.Isolation) bool {
 	switch {
 	case i.exclusive:
 		return false
-	case s == runs.Alone:
+	case s == runs.IsolationExclusive:
 		return i.running == 0
-	case s == runs.Apart:
+	case s == runs.IsolationFromSuspects:
 		return i.suspects == 0
 	}
 	return true
 }
 
 // isolatedCapacity returns the given free capacity, or none while a run must be alone.
-func (c *Core) isolatedCapacity(left room.Room) room.Room {
+func (c *Core) isolatedCapacity(left room.Resources) room.Resources {
 	if i := c.newIsolation(); i.exclusive {
-		return room.Room{}
+		return room.Resources{}
 	}
 	return left
 }
--- a/core/runner/crash_test.go
+++ b/core/runner/crash_test.go
@@ -18,9 +18,9 @@
 }
 
 // sendSuspect delivers a start with a suspicion, at now in ms after the start of the test.
-func (h *harness) sendSuspect(now int, task string, s runs.Suspicion) Output {
+func (h *harness) sendSuspect(now int, task string, s runs.Isolation) Output {
 	h.Receive(after(now), 1, &runs.ToAgent{Clock: after(now).UnixNano(), Starts: []runs.Start{{
-		Key: key(task), Need: small, Estimate: 100e6, Slack: 100e6, Patience: 1e9, Suspicion: s,
+		Key: key(task), Need: small, Estimate: 100e6, Slack: 100e6, StartTimeout: 1e9, Isolation: s,
 	}}})
 	return h.Flush(after(now))
 }
@@ -28,14 +28,14 @@
 func TestCrashIsBlamedOnTheRunThatStartedLast(t *testing.T) {
 	h := newRestartHarness(t)
 	first := h.send(start, "t1")
-	h.Ordered(after(1), first.Orders[0], Answer{Verdict: Accepted, Clock: 500_001})
+	h.OrderAnswered(after(1), first.Orders[0], Answer{Status: Accepted, Clock: 500_001})
 	second := h.send(after(2), "t2")
-	h.Ordered(after(3), second.Orders[0], Answer{Verdict: Accepted, Clock: 500_003})
-	h.Ordered(after(9), Order{Kind: OrderStop, Worker: "w1", Born: firstStart, Key: key("t1")}, Answer{Verdict: NotListening})
+	h.OrderAnswered(after(3), second.Orders[0], Answer{Status: Accepted, Clock: 500_003})
+	h.OrderAnswered(after(9), Order{Kind: OrderStop, Worker: "w1", Born: firstStart, Key: key("t1")}, Answer{Status: NotListening})
 	list := ends(h.Flush(after(9)))
 	h.is.Equal(len(list), 2)
 	for _, e := range list {
-		h.is.Equal(e.Reason, runs.Crashed)
+		h.is.Equal(e.Reason, runs.ReasonWorkerCrashed)
 	}
 	h.is.Equal(suspectsOf(list), []runs.Key{key("t2")})
 }
@@ -45,39 +45,39 @@
 func TestStartWithoutAnAnswerIsNotBlamedForTheCrash(t *testing.T) {
 	h := newRestartHarness(t)
 	out := h.send(start, "t1")
-	h.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 500_001})
+	h.OrderAnswered(after(1), out.Orders[0], Answer{Status: Accepted, Clock: 500_001})
 	out = h.send(after(2), "t2")
-	h.Ordered(after(4), out.Orders[0], Answer{Verdict: NoAnswer}) // the connection was reset
+	h.OrderAnswered(after(4), out.Orders[0], Answer{Status: NoAnswer}) // the connection was reset
 	stop := h.Flush(after(4)).Orders[0]
-	h.Ordered(after(5), stop, Answer{Verdict: NotListening})
+	h.OrderAnswered(after(5), stop, Answer{Status: NotListening})
 	list := ends(h.Flush(after(5)))
 	h.is.Equal(suspectsOf(list), []runs.Key{key("t1")})
-	h.is.Equal(list[0].Reason, runs.Crashed)
-	h.is.Equal(list[1].Reason, runs.Lapsed) // it does not count as a crash under t2
+	h.is.Equal(list[0].Reason, runs.ReasonWorkerCrashed)
+	h.is.Equal(list[1].Reason, runs.ReasonLeaseExpired) // it does not count as a crash under t2
 }
 
 // TestStartWithoutAnAnswerIsBlamedIfItMustRunAlone: otherwise a task that crashes workers before
 // they answer would be started again without end.
 func TestStartWithoutAnAnswerIsBlamedIfItMustRunAlone(t *testing.T) {
 	h := newRestartHarness(t)
-	out := h.sendSuspect(0, "t1", runs.Alone)
-	h.Ordered(after(2), out.Orders[0], Answer{Verdict: NoAnswer})
+	out := h.sendSuspect(0, "t1", runs.IsolationExclusive)
+	h.OrderAnswered(after(2), out.Orders[0], Answer{Status: NoAnswer})
 	stop := h.Flush(after(2)).Orders[0]
-	h.Ordered(after(3), stop, Answer{Verdict: NotListening})
+	h.OrderAnswered(after(3), stop, Answer{Status: NotListening})
 	h.is.Equal(suspectsOf(ends(h.Flush(after(3)))), []runs.Key{key("t1")})
 }
 
 func TestWorkerThatLeavesHasNotCrashed(t *testing.T) {
 	h := newRestartHarness(t)
 	out := h.send(start, "t1")
-	h.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 500_001})
+	h.OrderAnswered(after(1), out.Orders[0], Answer{Status: Accepted, Clock: 500_001})
 	leaving := workerStartedAt(firstStart)
 	leaving.Draining = true
-	h.Announced(after(2), leaving, 500_002)
-	h.Left(after(3), "w1")
+	h.WorkerAnnounced(after(2), leaving, 500_002)
+	h.WorkerLeft(after(3), "w1")
 	h.Tick(after(100))
 	list := ends(h.Flush(after(100)))
-	h.is.Equal(list[0].Reason, runs.NoWorker)
+	h.is.Equal(list[0].Reason, runs.ReasonNoWorker)
 	h.is.Equal(len(suspectsOf(list)), 0)
 }
 
@@ -90,23 +90,23 @@
 	}{{secondStart, 1}, {firstStart, 0}} {
 		h := newRestartHarness(t)
 		out := h.send(start, "t1")
-		h.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 500_001})
+		h.OrderAnswered(after(1), out.Orders[0], Answer{Status: Accepted, Clock: 500_001})
 		var list []runs.End
 		for ms := 100; ms <= 2000; ms += 100 {
 			h.heartbeat(after(ms))
-			if poll, ok := h.NextLook(after(ms)); ok {
-				h.Looked(after(ms+50), poll, Answer{Verdict: NoAnswer}, Listing{})
+			if poll, ok := h.NextPoll(after(ms)); ok {
+				h.PollAnswered(after(ms+50), poll, Answer{Status: NoAnswer}, Listing{})
 			}
 			h.Tick(after(ms + 50))
 			list = append(list, ends(h.Flush(after(ms+50)))...)
 		}
 		h.is.Equal(len(list), 1)
-		h.is.Equal(list[0].Reason, runs.Lapsed)
+		h.is.Equal(list[0].Reason, runs.ReasonLeaseExpired)
 		h.pollAnsweredBy(after(2500), c.born, 502_500, Listing{})
 		list = ends(h.Flush(after(2500)))
 		h.is.Equal(len(list), c.crashed)
 		if c.crashed > 0 {
-			h.is.Equal(list[0].Reason, runs.Crashed)
+			h.is.Equal(list[0].Reason, runs.ReasonWorkerCrashed)
 			h.is.True(list[0].Suspect)
 		}
 	}
@@ -114,18 +114,18 @@
 
 func TestSuspectsDoNotRunBesideEachOther(t *testing.T) {
 	h := newHarness(t)
-	h.is.Equal(startsOf(h.sendSuspect(0, "t1", runs.Apart)), []runs.Key{key("t1")})
-	h.is.Equal(len(startsOf(h.sendSuspect(1, "t2", runs.Apart))), 0)
-	h.is.Equal(startsOf(h.sendSuspect(2, "t3", runs.Trusted)), []runs.Key{key("t3")})
+	h.is.Equal(startsOf(h.sendSuspect(0, "t1", runs.IsolationFromSuspects)), []runs.Key{key("t1")})
+	h.is.Equal(len(startsOf(h.sendSuspect(1, "t2", runs.IsolationFromSuspects))), 0)
+	h.is.Equal(startsOf(h.sendSuspect(2, "t3", runs.IsolationNone)), []runs.Key{key("t3")})
 }
 
 func TestTaskThatMustRunAloneRunsAlone(t *testing.T) {
 	h := newHarness(t)
-	out := h.sendSuspect(0, "t1", runs.Trusted)
-	h.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 5001})
-	h.is.Equal(len(startsOf(h.sendSuspect(2, "t2", runs.Alone))), 0)
-	h.is.Equal(len(startsOf(h.sendSuspect(3, "t3", runs.Trusted))), 0) // else t2 would wait for ever
-	h.pollAt(after(5), Listing{Ended: []Ended{{Number: 1, Key: key("t1"), How: runs.Done}}})
+	out := h.sendSuspect(0, "t1", runs.IsolationNone)
+	h.OrderAnswered(after(1), out.Orders[0], Answer{Status: Accepted, Clock: 5001})
+	h.is.Equal(len(startsOf(h.sendSuspect(2, "t2", runs.IsolationExclusive))), 0)
+	h.is.Equal(len(startsOf(h.sendSuspect(3, "t3", runs.IsolationNone))), 0) // else t2 would wait for ever
+	h.pollAt(after(5), Listing{Ended: []Ended{{Number: 1, Key: key("t1"), Outcome: runs.OutcomeDone}}})
 	h.is.Equal(startsOf(h.Flush(after(5))), []runs.Key{key("t2")})
 	h.is.Equal(h.freeCapacity().CPU, 0) // entries send nothing here meanwhile
 }
--- a/core/runner/durable_test.go
+++ b/core/runner/durable_test.go
@@ -11,34 +11,34 @@
 // sendDurable delivers a start of a durable job's task.
 func (h *harness) sendDurable(now time.Time, task string) Output {
 	h.Receive(now, 1, &runs.ToAgent{Clock: now.UnixNano(), Starts: []runs.Start{{
-		Key: key(task), Need: small, Estimate: 100 * time.Millisecond, Slack: time.Second, Patience: time.Second, Durable: true,
+		Key: key(task), Need: small, Estimate: 100 * time.Millisecond, Slack: time.Second, StartTimeout: time.Second, Durable: true,
 	}}})
 	return h.Flush(now)
 }
 
 // endDurable has a run of a durable job start and end.
-func (h *harness) endDurable(task string, how runs.How) {
+func (h *harness) endDurable(task string, how runs.Outcome) {
 	out := h.sendDurable(start, task)
-	h.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 5001})
-	h.pollAt(after(10), Listing{Ended: []Ended{{Number: 1, Key: key(task), How: how}}})
+	h.OrderAnswered(after(1), out.Orders[0], Answer{Status: Accepted, Clock: 5001})
+	h.pollAt(after(10), Listing{Ended: []Ended{{Number: 1, Key: key(task), Outcome: how}}})
 }
 
 func TestEndIsHeldUntilItIsStored(t *testing.T) {
 	h := newHarness(t)
-	h.endDurable("j.0.0.0", runs.Done)
+	h.endDurable("j.0.0.0", runs.OutcomeDone)
 	end := ends(h.Flush(after(10)))[0]
-	h.is.True(end.Held)
-	poll, _ := h.NextLook(after(20))
+	h.is.True(end.NeedsAck)
+	poll, _ := h.NextPoll(after(20))
 	h.is.Equal(poll.LastSeen, int64(0)) // the worker must go on listing it
-	h.Receive(after(30), 1, &runs.ToAgent{Noted: []runs.Key{key("j.0.0.0")}})
-	poll, ok := h.NextLook(after(40))
+	h.Receive(after(30), 1, &runs.ToAgent{AckedEnds: []runs.Key{key("j.0.0.0")}})
+	poll, ok := h.NextPoll(after(40))
 	h.is.True(ok)
 	h.is.Equal(poll.LastSeen, int64(1))
 }
 
 func TestHeldEndIsSentAgainOnANewLink(t *testing.T) {
 	h := newHarness(t)
-	h.endDurable("j.0.0.0", runs.Done)
+	h.endDurable("j.0.0.0", runs.OutcomeDone)
 	h.Flush(after(10))
 	h.LinkDown(after(20), 1)
 	h.LinkUp(after(30), 2, entry)
@@ -47,12 +47,12 @@
 
 func TestEntriesAreAskedAboutAnEndThatIsNotStored(t *testing.T) {
 	h := newHarness(t)
-	h.endDurable("j.0.0.0", runs.Done)
+	h.endDurable("j.0.0.0", runs.OutcomeDone)
 	h.Flush(after(10))
 	h.heartbeat(after(300))
 	h.Tick(after(600))
 	out := h.Flush(after(600))
-	h.is.Equal(len(out.Sends[0].Msg.Unowned), 1)
+	h.is.Equal(len(out.Sends[0].Msg.UnownedEnds), 1)
 }
 
 // TestStoreOutageDoesNotFillTheWorkersList: held ends are given up before the worker's list is so
@@ -61,16 +61,16 @@
 	h := newHarness(t)
 	var listing Listing
 	for n := range maxHeldEnds {
-		listing.Ended = append(listing.Ended, Ended{Number: int64(n + 1), Key: key(fmt.Sprintf("j%d.0.0.0", n)), How: runs.Done})
+		listing.Ended = append(listing.Ended, Ended{Number: int64(n + 1), Key: key(fmt.Sprintf("j%d.0.0.0", n)), Outcome: runs.OutcomeDone})
 	}
-	h.endDurable("j.0.0.0", runs.Done)
+	h.endDurable("j.0.0.0", runs.OutcomeDone)
 	h.sendDurable(after(15), "k.0.0.0") // the worker is polled while it has runs
 	h.pollAt(after(20), listing)
 	for ms := 40; ms < 2000; ms += 20 {
 		h.heartbeat(after(ms))
 		h.Tick(after(ms))
-		if poll, ok := h.NextLook(after(ms)); ok {
-			h.Looked(after(ms), poll, Answer{Verdict: Accepted, Clock: 5000 + int64(ms)}, Listing{})
+		if poll, ok := h.NextPoll(after(ms)); ok {
+			h.PollAnswered(after(ms), poll, Answer{Status: Accepted, Clock: 5000 + int64(ms)}, Listing{})
 		}
 	}
 	h.is.Equal(h.held.Len(), 0)
@@ -80,24 +80,24 @@
 func TestRunMissingInACutListingMayHaveEnded(t *testing.T) {
 	h := newHarness(t)
 	out := h.send(start, "t1")
-	h.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 5001})
-	h.pollAt(after(50), Listing{Cut: true})
+	h.OrderAnswered(after(1), out.Orders[0], Answer{Status: Accepted, Clock: 5001})
+	h.pollAt(after(50), Listing{Truncated: true})
 	h.is.Equal(len(ends(h.Flush(after(50)))), 0)
 	h.pollAt(after(60), Listing{})
-	h.is.Equal(ends(h.Flush(after(60)))[0].How, runs.Gone)
+	h.is.Equal(ends(h.Flush(after(60)))[0].Outcome, runs.OutcomeGone)
 }
 
 func TestVoidEndIsForgottenOnceTheLeaseHasExpired(t *testing.T) {
 	h := newHarness(t)
-	h.endDurable("j.0.0.0", runs.Done)
+	h.endDurable("j.0.0.0", runs.OutcomeDone)
 	h.Flush(after(10))
-	h.Receive(after(20), 1, &runs.ToAgent{Clock: after(20).UnixNano(), Void: []runs.Key{key("j.0.0.0")}})
+	h.Receive(after(20), 1, &runs.ToAgent{Clock: after(20).UnixNano(), VoidEnds: []runs.Key{key("j.0.0.0")}})
 	h.is.Equal(h.Flush(after(20)).Sends[0].Msg.Worker.ID, "") // the worker gets no new runs
 	ended := 0
 	for ms := 40; ms < 2000; ms += 20 {
 		h.heartbeat(after(ms))
 		h.Tick(after(ms))
-		poll, ok := h.NextLook(after(ms))
+		poll, ok := h.NextPoll(after(ms))
 		if !h.awaitsLeaseExpiry() {
 			ended = ms
 			break
@@ -105,14 +105,14 @@
 		if ok {
 			h.is.Equal(poll.Deadline, int64(0)) // nothing renews the lease
 			h.is.Equal(poll.LastSeen, int64(0))
-			h.Looked(after(ms), poll, Answer{Verdict: Accepted, Clock: 5000 + int64(ms)}, Listing{
-				Ended: []Ended{{Number: 1, Key: key("j.0.0.0"), How: runs.Done}},
+			h.PollAnswered(after(ms), poll, Answer{Status: Accepted, Clock: 5000 + int64(ms)}, Listing{
+				Ended: []Ended{{Number: 1, Key: key("j.0.0.0"), Outcome: runs.OutcomeDone}},
 			})
 		}
 		h.Flush(after(ms))
 	}
 	h.is.True(ended > 800) // the lease that the start requested
-	poll, ok := h.NextLook(after(2100))
+	poll, ok := h.NextPoll(after(2100))
 	h.is.True(ok)
 	h.is.Equal(poll.LastSeen, int64(1))
 }
--- a/core/runner/held.go
+++ b/core/runner/held.go
@@ -56,7 +56,7 @@
 
 // holdEnd holds an end until an entry has stored it. owner is 0 if it is not sent to any.
 func (c *Core) holdEnd(number int64, owner uint64, end runs.End) {
-	end.Held = true
+	end.NeedsAck = true
 	h := &heldEnd{end: end, owner: owner, listedAt: c.now}
 	if owner != 0 {
 		h.askedAt = c.now // it is sent to its owner now
@@ -95,7 +95,7 @@
 	}
 	h.void = true
 	c.recordHeldEnd("lease left to end", h)
-	c.refuseWaiting(runs.NoWorker)
+	c.refuseWaiting(runs.ReasonNoWorker)
 	c.sendWorkerToAll()
 }
 
@@ -140,7 +140,7 @@
 
 // recordHeldEnd records a decision about a held end for the log.
 func (c *Core) recordHeldEnd(event string, h *heldEnd) {
-	c.out.Notes = append(c.out.Notes, Note{Event: event, Key: h.end.Key, Reason: h.end.Reason, Age: c.now.Sub(h.listedAt)})
+	c.out.Decisions = append(c.out.Decisions, Decision{Event: event, Key: h.end.Key, Reason: h.end.Reason, Age: c.now.Sub(h.listedAt)})
 }
 
 // isUnavailable reports whether the worker may be given nothing at present.
@@ -172,7 +172,7 @@
 		h.askedAt = c.now
 		c.recordHeldEnd("end not stored", h)
 		for l := range c.links.Values() {
-			l.out.Unowned = append(l.out.Unowned, h.end)
+			l.out.UnownedEnds = append(l.out.UnownedEnds, h.end)
 			l.dirty = true
 		}
 	}
--- a/core/runner/lease_test.go
+++ b/core/runner/lease_test.go
@@ -30,11 +30,11 @@
 		now := after(ms)
 		h.Tick(now)
 		h.Flush(now)
-		poll, ok := h.NextLook(now)
+		poll, ok := h.NextPoll(now)
 		h.is.True(ok)
 		h.is.True(!leaseExpiry(poll.Deadline).After(h.mustEndBy()))
 		slow := 5000 + int64(float64(ms)*(1-maxClockDrift))
-		h.Looked(now, poll, Answer{Verdict: Accepted, Clock: slow}, Listing{Running: []Running{{Key: key("t1")}}})
+		h.PollAnswered(now, poll, Answer{Status: Accepted, Clock: slow}, Listing{Running: []Running{{Key: key("t1")}}})
 	}
 }
 
@@ -49,7 +49,7 @@
 		now := after(ms)
 		msg := &runs.ToAgent{Clock: now.UnixNano()}
 		if ms%100 == 0 {
-			msg.Starts = []runs.Start{{Key: key(now.String()), Need: small, Patience: time.Second}}
+			msg.Starts = []runs.Start{{Key: key(now.String()), Need: small, StartTimeout: time.Second}}
 		}
 		h.Receive(now, 2, msg)
 		h.Tick(now)
@@ -59,7 +59,7 @@
 			}
 			started++
 			h.is.True(!leaseExpiry(o.Deadline).After(h.mustEndBy()))
-			h.finish(h.runs.Get(o.Key), runs.End{Key: o.Key, How: runs.Done}) // makes room for the next one
+			h.finish(h.runs.Get(o.Key), runs.End{Key: o.Key, Outcome: runs.OutcomeDone}) // makes room for the next one
 		}
 	}
 	h.is.True(started > 5)
@@ -88,6 +88,6 @@
 	h.send(start, "t1")
 	h.LinkUp(start, 2, runs.Entry{Address: "e:2", Incarnation: 8})
 	h.Flush(start)
-	h.Receive(after(10), 2, &runs.ToAgent{Clock: after(10).UnixNano(), Starts: []runs.Start{{Key: key("t1"), Need: small, Patience: time.Second}}})
-	h.is.Equal(ends(h.Flush(after(10))), []runs.End{{Key: key("t1"), How: runs.Refused, Reason: runs.OldRun}})
+	h.Receive(after(10), 2, &runs.ToAgent{Clock: after(10).UnixNano(), Starts: []runs.Start{{Key: key("t1"), Need: small, StartTimeout: time.Second}}})
+	h.is.Equal(ends(h.Flush(after(10))), []runs.End{{Key: key("t1"), Outcome: runs.OutcomeRefused, Reason: runs.ReasonStaleRun}})
 }
--- a/core/runner/load.go
+++ b/core/runner/load.go
@@ -31,13 +31,13 @@
 
 // observeEnd takes the end of a run.
 func (s *speedStats) observeEnd(now time.Time, r *run, end runs.End) {
-	switch end.How {
-	case runs.Done:
+	switch end.Outcome {
+	case runs.OutcomeDone:
 		s.failStreak = 0
-	case runs.Failed:
+	case runs.OutcomeFailed:
 		s.failStreak++
 	}
-	if end.How == runs.Done && r.start.Estimate > 0 {
+	if end.Outcome == runs.OutcomeDone && r.start.Estimate > 0 {
 		s.observe(now, end.Ran, r.start.Estimate)
 	}
 }
@@ -70,7 +70,7 @@
 	c.speed.decay(c.now)
 	ran, estimated := c.speed.ran+speedPriorSeconds, c.speed.estimated+speedPriorSeconds
 	for r := range c.runs.Values() {
-		if !c.settings.Policy.Has(policy.Progress) {
+		if !c.settings.Policy.Enabled(policy.Progress) {
 			break
 		}
 		if r.phase != phaseRunning || r.start.Estimate <= 0 || r.percentAt.Sub(r.confirmedAt) < minProgressAge {
@@ -121,12 +121,12 @@
 func (c *Core) load(l *link) *runs.Load {
 	if c.sharedLoad == nil {
 		c.sharedLoad = &runs.Load{
-			Free: c.freeCapacity(), Waiting: c.waitingCPU(), Freeings: c.freeings(), Slowness: c.slowness(),
-			FailStreak: c.speed.failStreak, Sharers: c.activeLinks(),
+			Free: c.freeCapacity(), Waiting: c.waitingCPU(), ExpectedEnds: c.freeings(), Slowness: c.slowness(),
+			FailStreak: c.speed.failStreak, SharingEntries: c.activeLinks(),
 		}
 	}
 	load := *c.sharedLoad
-	load.Seen = l.startsReceived
+	load.StartsSeen = l.startsReceived
 	return &load
 }
 
@@ -143,11 +143,11 @@
 }
 
 // freeings returns the next expected ends, soonest first.
-func (c *Core) freeings() []runs.Freeing {
-	var list []runs.Freeing
+func (c *Core) freeings() []runs.ExpectedEnd {
+	var list []runs.ExpectedEnd
 	for r := range c.runs.Values() {
 		if r.phase != phaseWaiting && !r.orphan {
-			list = append(list, runs.Freeing{After: int(c.expectedRemaining(r).Milliseconds()), CPU: r.need.CPU})
+			list = append(list, runs.ExpectedEnd{After: int(c.expectedRemaining(r).Milliseconds()), CPU: r.need.CPU})
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].After < list[j].After })
@@ -166,7 +166,7 @@
 			list = append(list, runs.Progress{Key: r.key, Waiting: true})
 			continue
 		}
-		if r.phase == phaseRunning && c.expectedRunTime(r) > time.Duration(float64(r.start.Estimate)*c.settings.LateFactor) {
+		if r.phase == phaseRunning && c.expectedRunTime(r) > time.Duration(float64(r.start.Estimate)*c.settings.ProgressReportFactor) {
 			list = append(list, runs.Progress{Key: r.key, Remaining: c.expectedRemaining(r)})
 		}
 		if r.durable && r.checkpoint != r.reportedCheckpoint {
--- a/core/runner/load_test.go
+++ b/core/runner/load_test.go
@@ -14,7 +14,7 @@
 // the given number of entries.
 func newHarnessWithEntries(t *testing.T, entries int) *harness {
 	h := newHarness(t)
-	h.worker.info.Capacity = room.Room{CPU: 8000, Memory: 100}
+	h.worker.info.Capacity = room.Resources{CPU: 8000, Memory: 100}
 	for i := 1; i < entries; i++ {
 		h.LinkUp(start, LinkID(1+i), runs.Entry{Address: fmt.Sprintf("e:%d", 1+i), Incarnation: uint64(100 + i)})
 	}
@@ -33,11 +33,11 @@
 			out := h.send(now, fmt.Sprint("t", ms))
 			messages += len(out.Sends)
 			for _, o := range out.Orders {
-				h.Ordered(now, o, Answer{Verdict: Accepted, Clock: 5000 + int64(ms)})
+				h.OrderAnswered(now, o, Answer{Status: Accepted, Clock: 5000 + int64(ms)})
 			}
 		} else {
 			listed++
-			h.pollAt(now, Listing{Ended: []Ended{{Number: listed, Key: key(fmt.Sprint("t", ms-10)), How: runs.Done}}})
+			h.pollAt(now, Listing{Ended: []Ended{{Number: listed, Key: key(fmt.Sprint("t", ms-10)), Outcome: runs.OutcomeDone}}})
 		}
 		messages += len(h.Flush(now).Sends)
 	}
@@ -59,7 +59,7 @@
 	h := newHarnessWithEntries(t, 30)
 	h.send(after(200), "t0") // sent to all, since the last messages are long ago
 	h.send(after(210), "t1")
-	h.is.True(h.HasNews())
+	h.is.True(h.HasUnsentLoad())
 	heard := make(map[LinkID]int)
 	for ms := 210; ms <= 310; ms += 10 {
 		for _, s := range h.Flush(after(ms)).Sends {
@@ -70,7 +70,7 @@
 	for _, free := range heard {
 		h.is.Equal(free, 6000)
 	}
-	h.is.True(!h.HasNews())
+	h.is.True(!h.HasUnsentLoad())
 }
 
 // TestLoadUpdatesToFewEntriesAreSentAtOnce: a small deployment decides by loads that are a few
--- a/core/runner/orders.go
+++ b/core/runner/orders.go
@@ -31,21 +31,21 @@
 	Checkpoint string
 }
 
-// Verdict is how the worker answered an order or a poll.
-type Verdict uint8
+// Status is how the worker answered an order or a poll.
+type Status uint8
 
 // Verdicts.
 const (
 	// Accepted: the worker has carried the order out, or answered the poll.
-	Accepted Verdict = iota + 1
+	Accepted Status = iota + 1
 	// NoAnswer: the order may have been carried out, or may be carried out later.
 	NoAnswer
-	// RefusedOld: the worker has already seen this run of the task or a higher one.
-	RefusedOld
+	// RefusedOldRun: the worker has already seen this run of the task or a higher one.
+	RefusedOldRun
 	// RefusedLate: the deadline of the order had passed.
 	RefusedLate
-	// RefusedRoom: the worker has too little free capacity.
-	RefusedRoom
+	// RefusedCapacity: the worker has too little free capacity.
+	RefusedCapacity
 	// RefusedFence: the worker has seen a higher fencing token.
 	RefusedFence
 	// RefusedUnhealthy: the worker refuses work at present.
@@ -60,7 +60,7 @@
 
 // Answer is the worker's answer to an order or a poll.
 type Answer struct {
-	Verdict Verdict
+	Status Status
 	// Clock is the worker's clock in ms; 0 if the answer does not contain it.
 	Clock int64
 	// Born is the start time in Unix ms of the incarnation that answered; 0 if the answer does
@@ -68,8 +68,8 @@
 	Born int64
 }
 
-// Ordered handles the answer to an order.
-func (c *Core) Ordered(now time.Time, o Order, a Answer) {
+// OrderAnswered handles the answer to an order.
+func (c *Core) OrderAnswered(now time.Time, o Order, a Answer) {
 	c.now = now
 	if r := c.runs.Get(o.Key); r != nil && r.inFlight && o.Kind == OrderStart {
 		c.handleInFlightAnswer(r, a)
@@ -80,9 +80,9 @@
 	}
 	c.readAnswerClock(a.Clock)
 	r := c.runs.Get(o.Key)
-	if a.Verdict == WrongIncarnation || a.Verdict == NotListening {
+	if a.Status == WrongIncarnation || a.Status == NotListening {
 		if r != nil && r.phase == phaseOrdered && o.Kind == OrderStart {
-			c.finish(r, runs.End{Key: r.key, How: runs.Refused, Reason: runs.NoWorker})
+			c.finish(r, runs.End{Key: r.key, Outcome: runs.OutcomeRefused, Reason: runs.ReasonNoWorker})
 		}
 		c.handleIncarnationOver()
 		return
@@ -101,26 +101,26 @@
 	if r.phase != phaseOrdered {
 		return // a listing has shown more already
 	}
-	switch a.Verdict {
+	switch a.Status {
 	case Accepted:
 		c.markRunning(r)
 	case NoAnswer:
 		r.phase = phaseUnconfirmed
-		c.terminate(r, runs.Unanswered)
+		c.terminate(r, runs.ReasonNoAnswer)
 	case RefusedFence:
-		c.finish(r, runs.End{Key: r.key, How: runs.Refused, Reason: runs.NoWorker})
+		c.finish(r, runs.End{Key: r.key, Outcome: runs.OutcomeRefused, Reason: runs.ReasonNoWorker})
 		c.handleFenced()
 	case RefusedUnhealthy:
 		c.speed.failStreak++
-		c.finish(r, runs.End{Key: r.key, How: runs.Refused, Reason: runs.Unhealthy})
+		c.finish(r, runs.End{Key: r.key, Outcome: runs.OutcomeRefused, Reason: runs.ReasonUnhealthy})
 	default:
-		c.finish(r, runs.End{Key: r.key, How: runs.Refused, Reason: refusalReasons[a.Verdict]})
+		c.finish(r, runs.End{Key: r.key, Outcome: runs.OutcomeRefused, Reason: refusalReasons[a.Status]})
 	}
 }
 
-var refusalReasons = map[Verdict]runs.Reason{
-	RefusedOld: runs.OldRun, RefusedLate: runs.Late, RefusedRoom: runs.NoRoom,
-	RefusedUnhealthy: runs.Unhealthy, RefusedOther: runs.Unhealthy,
+var refusalReasons = map[Status]runs.Reason{
+	RefusedOldRun: runs.ReasonStaleRun, RefusedLate: runs.ReasonStartTimeout, RefusedCapacity: runs.ReasonNoCapacity,
+	RefusedUnhealthy: runs.ReasonUnhealthy, RefusedOther: runs.ReasonUnhealthy,
 }
 
 // markRunning records that the worker has confirmed a run.
@@ -134,8 +134,8 @@
 }
 
 func (c *Core) handleStopAnswer(r *run, a Answer) {
-	switch a.Verdict {
-	case Accepted, RefusedOld:
+	switch a.Status {
+	case Accepted, RefusedOldRun:
 		r.stopAnsweredAt = c.now
 	case RefusedFence:
 		c.handleFenced()
@@ -159,8 +159,8 @@
 	w.token = max(least, w.token+w.tokenStep)
 }
 
-// Look is a poll: a call to the worker that renews its lease and lists its runs.
-type Look struct {
+// Poll is a poll: a call to the worker that renews its lease and lists its runs.
+type Poll struct {
 	// Worker is the ID of the incarnation that the poll is for, Born its start time in Unix ms.
 	Worker string
 	Born   int64
@@ -182,24 +182,24 @@
 const maxAnswerDelay = 400 * time.Millisecond
 
 // isStale reports whether the answer to a poll came too late or is from an earlier epoch.
-func (l Look) isStale(now time.Time, epoch uint64) bool {
+func (l Poll) isStale(now time.Time, epoch uint64) bool {
 	return l.epoch != epoch || now.Sub(l.SentAt) > l.Wait+maxAnswerDelay
 }
 
-// LookDue reports whether the worker should be polled now.
-func (c *Core) LookDue(now time.Time) bool {
+// IsPollDue reports whether the worker should be polled now.
+func (c *Core) IsPollDue(now time.Time) bool {
 	c.now = now
 	return c.NeedsPoll() && now.Sub(c.polledAt) >= c.pollInterval()
 }
 
-// NextLook returns the poll to send now, if one is due.
-func (c *Core) NextLook(now time.Time) (Look, bool) {
+// NextPoll returns the poll to send now, if one is due.
+func (c *Core) NextPoll(now time.Time) (Poll, bool) {
 	c.now = now
-	if !c.LookDue(now) {
-		return Look{}, false
+	if !c.IsPollDue(now) {
+		return Poll{}, false
 	}
 	c.polledAt = now
-	poll := Look{
+	poll := Poll{
 		Worker: c.worker.info.ID, Born: c.worker.info.Born, Token: c.worker.token, LastSeen: c.ackUpTo(), SentAt: now,
 		epoch: c.worker.epoch,
 	}
@@ -212,7 +212,7 @@
 		c.worker.recordDeadline(poll.Deadline)
 	}
 	if c.worker.synced && !c.awaitsListing() {
-		poll.Wait = c.settings.LookWait
+		poll.Wait = c.settings.PollWait
 	}
 	return poll, true
 }
@@ -240,7 +240,7 @@
 	// Number counts the ends of the incarnation, from 1.
 	Number     int64
 	Key        runs.Key
-	How        runs.How
+	Outcome    runs.Outcome
 	Checkpoint string
 }
 
@@ -248,12 +248,12 @@
 type Listing struct {
 	Running []Running
 	Ended   []Ended
-	// Cut is set if the worker has further ends; it lists them once these are acknowledged.
-	Cut bool
+	// Truncated is set if the worker has further ends; it lists them once these are acknowledged.
+	Truncated bool
 }
 
-// Looked handles the answer to a poll.
-func (c *Core) Looked(now time.Time, poll Look, a Answer, listing Listing) {
+// PollAnswered handles the answer to a poll.
+func (c *Core) PollAnswered(now time.Time, poll Poll, a Answer, listing Listing) {
 	c.now = now
 	if !c.worker.known || poll.Worker != c.worker.info.ID || poll.Born != c.worker.info.Born {
 		return
@@ -266,7 +266,7 @@
 		return
 	}
 	c.worker.readClock(now, a.Clock)
-	switch a.Verdict {
+	switch a.Status {
 	case Accepted:
 		c.worker.restartSuspected = false
 		c.resolveExpiredEnds(false)
@@ -293,7 +293,7 @@
 	}
 	c.processEnds(listing.Ended)
 	c.processRunning(listing.Running)
-	if !listing.Cut { // a run that is missing in a cut listing may have ended
+	if !listing.Truncated { // a run that is missing in a cut listing may have ended
 		c.finishUnlisted(poll, listing.Running)
 	}
 	if !c.worker.synced {
@@ -312,7 +312,7 @@
 			continue
 		}
 		c.worker.lastEndNumber = e.Number
-		end := runs.End{Key: e.Key, How: e.How, Checkpoint: e.Checkpoint}
+		end := runs.End{Key: e.Key, Outcome: e.Outcome, Checkpoint: e.Checkpoint}
 		r := c.runs.Get(e.Key)
 		if r == nil {
 			c.recent.add(end)           // a run of a previous process: an entry may ask about it
@@ -322,13 +322,13 @@
 		if !r.confirmedAt.IsZero() {
 			end.Ran = c.now.Sub(r.confirmedAt)
 		}
-		if end.How == runs.Stopped {
+		if end.Outcome == runs.OutcomeStopped {
 			end.Reason = r.stopReason
 		}
 		c.speed.observeEnd(c.now, r, end)
 		if r.durable {
 			c.holdEnd(e.Number, r.owner.Incarnation, end)
-			end.Held = true
+			end.NeedsAck = true
 		}
 		c.finish(r, end)
 	}
@@ -339,14 +339,14 @@
 	for _, listed := range running {
 		r := c.runs.Get(listed.Key)
 		if r == nil {
-			r = &run{key: listed.Key, orphan: true, phase: phaseOrdered, orderedAt: c.now, incarnation: c.worker.info.Life()}
+			r = &run{key: listed.Key, orphan: true, phase: phaseOrdered, orderedAt: c.now, incarnation: c.worker.info.Incarnation()}
 			c.runs.Put(listed.Key, r)
 			c.recordDecision("orphan", r, runs.NoReason)
 		}
 		if r.phase == phaseWaiting {
 			continue // a run with the same key of a previous process; its stop ends it
 		}
-		r.incarnation, r.lossReason, r.suspect = c.worker.info.Life(), runs.NoReason, false
+		r.incarnation, r.lossReason, r.suspect = c.worker.info.Incarnation(), runs.NoReason, false
 		c.markRunning(r)
 		r.percentDone = listed.Percent
 		r.checkpoint = listed.Checkpoint
@@ -358,7 +358,7 @@
 // finishUnlisted finishes runs that are missing in a complete listing and that this proves to be
 // over: those of a previous incarnation, those confirmed before the poll was sent, and
 // unconfirmed ones that can no longer start.
-func (c *Core) finishUnlisted(poll Look, running []Running) {
+func (c *Core) finishUnlisted(poll Poll, running []Running) {
 	listed := make(map[runs.Key]bool, len(running))
 	for _, r := range running {
 		listed[r.Key] = true
@@ -368,18 +368,18 @@
 			continue
 		}
 		switch {
-		case r.phase != phaseWaiting && r.incarnation != c.worker.info.Life():
-			c.finish(r, c.lossEnd(r, runs.Gone, r.lossReason))
+		case r.phase != phaseWaiting && r.incarnation != c.worker.info.Incarnation():
+			c.finish(r, c.lossEnd(r, runs.OutcomeGone, r.lossReason))
 		case r.phase == phaseRunning && r.confirmedAt.Before(poll.SentAt):
-			c.finish(r, runs.End{Key: r.key, How: runs.Gone})
+			c.finish(r, runs.End{Key: r.key, Outcome: runs.OutcomeGone})
 		case r.phase == phaseUnconfirmed && c.cannotStart(r, poll):
-			c.finish(r, runs.End{Key: r.key, How: runs.Refused, Reason: runs.Unanswered})
+			c.finish(r, runs.End{Key: r.key, Outcome: runs.OutcomeRefused, Reason: runs.ReasonNoAnswer})
 		}
 	}
 }
 
 // cannotStart reports whether an unconfirmed run could no longer start when a poll was sent.
-func (c *Core) cannotStart(r *run, poll Look) bool {
+func (c *Core) cannotStart(r *run, poll Poll) bool {
 	stopped := !r.stopAnsweredAt.IsZero() && r.stopAnsweredAt.Before(poll.SentAt)
 	expired := c.worker.clockLowerBound(poll.SentAt) > r.orderDeadline
 	return stopped || expired
--- a/core/runner/release.go
+++ b/core/runner/release.go
@@ -38,8 +38,8 @@
 	c.sendWorker(l)
 }
 
-// OnDemand records whether a link exists only because its entry is short of agents.
-func (c *Core) OnDemand(now time.Time, id LinkID, onDemand bool) {
+// SetOnDemand records whether a link exists only because its entry is short of agents.
+func (c *Core) SetOnDemand(now time.Time, id LinkID, onDemand bool) {
 	c.now = now
 	l := c.links.Get(id)
 	if l == nil || l.onDemand == onDemand {
@@ -53,7 +53,7 @@
 func (c *Core) closeReleased() {
 	for id, l := range c.links.All() {
 		if l.isReleased() && c.now.Sub(l.releasedAt) >= minReleaseDuration && !c.hasRuns(l.entry.Incarnation) {
-			c.out.Closes = append(c.out.Closes, id)
+			c.out.CloseLinks = append(c.out.CloseLinks, id)
 		}
 	}
 }
@@ -69,9 +69,9 @@
 	return n
 }
 
-// Unsettled reports whether an end was held for longer than askInterval. The entry that has taken
+// HasUndeliveredEnds reports whether an end was held for longer than askInterval. The entry that has taken
 // its job over may be one that this agent has no link to.
-func (c *Core) Unsettled() bool {
+func (c *Core) HasUndeliveredEnds() bool {
 	for h := range c.held.Values() {
 		if c.now.Sub(h.listedAt) > askInterval {
 			return true
--- a/core/runner/restart.go
+++ b/core/runner/restart.go
@@ -25,16 +25,16 @@
 
 // retiredIncarnations remembers the latest incarnations that are over.
 type retiredIncarnations struct {
-	members map[runs.Life]bool
-	order   []runs.Life
+	members map[runs.Incarnation]bool
+	order   []runs.Incarnation
 }
 
-func (r *retiredIncarnations) add(incarnation runs.Life) {
+func (r *retiredIncarnations) add(incarnation runs.Incarnation) {
 	if r.members[incarnation] {
 		return
 	}
 	if r.members == nil {
-		r.members = make(map[runs.Life]bool)
+		r.members = make(map[runs.Incarnation]bool)
 	}
 	r.members[incarnation] = true
 	r.order = append(r.order, incarnation)
@@ -44,11 +44,11 @@
 	}
 }
 
-func (r *retiredIncarnations) has(incarnation runs.Life) bool { return r.members[incarnation] }
+func (r *retiredIncarnations) has(incarnation runs.Incarnation) bool { return r.members[incarnation] }
 
 // hasID reports whether a retired incarnation had an ID.
 func (r *retiredIncarnations) hasID(id string) bool {
-	return slices.ContainsFunc(r.order, func(incarnation runs.Life) bool { return incarnation.ID == id })
+	return slices.ContainsFunc(r.order, func(incarnation runs.Incarnation) bool { return incarnation.ID == id })
 }
 
 // mayHaveRestarted reports whether the server may have restarted under the same ID since it last
@@ -80,15 +80,15 @@
 	previous := c.worker
 	next := previous.info
 	next.Born = a.Born
-	announced := previous.candidate.ID != "" && previous.candidate.Life() == next.Life()
+	announced := previous.candidate.ID != "" && previous.candidate.Incarnation() == next.Incarnation()
 	if announced {
 		next = previous.candidate
 	}
-	c.retire(previous.info.Life())
+	c.retire(previous.info.Incarnation())
 	c.markSuspect()
 	reason := c.currentLossReason()
-	c.resolveExpiredEnds(reason == runs.Crashed)
-	c.refuseWaiting(runs.NoWorker)
+	c.resolveExpiredEnds(reason == runs.ReasonWorkerCrashed)
+	c.refuseWaiting(runs.ReasonNoWorker)
 	c.held = ordered.Map[int64, *heldEnd]{} // the list of the previous incarnation is gone with it
 	c.worker = workerState{
 		info: next, known: true, idReused: true, unannounced: !announced, epoch: previous.epoch + 1, token: max(a.Clock, previous.token+1),
@@ -102,15 +102,15 @@
 		}
 		r.lossReason = reason
 	}
-	c.recordRestart("worker restarted", previous.info.Life())
+	c.recordRestart("worker restarted", previous.info.Incarnation())
 	c.sendWorkerToAll()
 }
 
 // handleInFlightAnswer handles the answer to a start that was in flight when the worker was lost.
 // If it was carried out, that may have been by the next incarnation.
 func (c *Core) handleInFlightAnswer(r *run, a Answer) {
-	if a.Verdict != Accepted {
-		c.finish(r, c.lossEnd(r, runs.Stopped, r.lossReason))
+	if a.Status != Accepted {
+		c.finish(r, c.lossEnd(r, runs.OutcomeStopped, r.lossReason))
 		return
 	}
 	r.phase = phaseUnconfirmed
@@ -121,7 +121,7 @@
 func (c *Core) expireInFlight() {
 	for r := range c.runs.Values() {
 		if r.inFlight && c.now.Sub(r.orderedAt) > c.maxLease()+inFlightSlack {
-			c.finish(r, runs.End{Key: r.key, How: runs.Gone, Reason: runs.NoWorker})
+			c.finish(r, runs.End{Key: r.key, Outcome: runs.OutcomeGone, Reason: runs.ReasonNoWorker})
 		}
 	}
 }
@@ -131,7 +131,7 @@
 
 // maxLease returns the longest lease that a worker may hold.
 func (c *Core) maxLease() time.Duration {
-	return max(c.settings.LongestLease, previousLeaseFactor*c.settings.WorkerLease)
+	return max(c.settings.MaxWorkerLease, previousLeaseFactor*c.settings.WorkerLease)
 }
 
 // assumeMaxLease assumes the longest lease if a new incarnation under a reused ID has runs or
@@ -143,6 +143,6 @@
 }
 
 // recordRestart records that the worker has another incarnation.
-func (c *Core) recordRestart(event string, previous runs.Life) {
-	c.out.Notes = append(c.out.Notes, Note{Event: event, Worker: c.worker.info.Life(), Former: previous})
+func (c *Core) recordRestart(event string, previous runs.Incarnation) {
+	c.out.Decisions = append(c.out.Decisions, Decision{Event: event, Worker: c.worker.info.Incarnation(), Previous: previous})
 }
--- a/core/runner/run.go
+++ b/core/runner/run.go
@@ -28,10 +28,10 @@
 	key   runs.Key
 	owner runs.Entry
 	start runs.Start
-	need  room.Room
+	need  room.Resources
 	phase phase
 	// incarnation is the worker's incarnation that was ordered to start it, or that lists it.
-	incarnation runs.Life
+	incarnation runs.Incarnation
 	// inFlight is set if the worker was lost while the answer to the start was outstanding: the
 	// next incarnation may carry the start out.
 	inFlight bool
@@ -90,22 +90,22 @@
 	if other := c.runs.Get(s.Key); other != nil {
 		if other.owner.Incarnation != l.entry.Incarnation {
 			// Each entry numbers the runs of a job from 1: this is a run of another entry.
-			l.out.Ends = append(l.out.Ends, runs.End{Key: s.Key, How: runs.Refused, Reason: runs.OldRun})
+			l.out.Ends = append(l.out.Ends, runs.End{Key: s.Key, Outcome: runs.OutcomeRefused, Reason: runs.ReasonStaleRun})
 			l.dirty = true
 		}
 		return // a repeated start of the same entry
 	}
 	r := &run{
 		key: s.Key, owner: l.entry, start: *s, need: s.Need,
-		durable: s.Durable, startBy: c.now.Add(s.Slack), latestStart: time.Unix(0, sentAt).Add(s.Patience),
+		durable: s.Durable, startBy: c.now.Add(s.Slack), latestStart: time.Unix(0, sentAt).Add(s.StartTimeout),
 	}
 	c.loadChanged = true
 	if reason := c.refusalReason(l, r); reason != runs.NoReason {
-		c.finish(r, runs.End{Key: r.key, How: runs.Refused, Reason: reason})
+		c.finish(r, runs.End{Key: r.key, Outcome: runs.OutcomeRefused, Reason: reason})
 		return
 	}
 	c.runs.Put(r.key, r)
-	if !c.settings.Policy.Has(policy.LeastSlack) {
+	if !c.settings.Policy.Enabled(policy.LeastSlack) {
 		c.queue = append(c.queue, r)
 		return
 	}
@@ -116,17 +116,17 @@
 func (c *Core) refusalReason(l *link, r *run) runs.Reason {
 	switch {
 	case c.draining || c.worker.info.Draining || l.isReleased():
-		return runs.Draining
+		return runs.ReasonDraining
 	case c.isDrained():
-		return runs.Drained
+		return runs.ReasonDataCentreDrained
 	case !c.worker.synced || c.isUnavailable():
-		return runs.NoWorker
+		return runs.ReasonNoWorker
 	case !c.hasLease(r.owner):
-		return runs.NoLease
+		return runs.ReasonNoLease
 	case c.now.After(r.latestStart):
-		return runs.Late
+		return runs.ReasonStartTimeout
 	case !c.worker.info.Capacity.Fits(r.need) || len(c.queue) >= c.settings.QueueLimit:
-		return runs.NoRoom
+		return runs.ReasonNoCapacity
 	}
 	return runs.NoReason
 }
@@ -155,20 +155,20 @@
 		}
 		if !left.Fits(r.need) {
 			waiting = append(waiting, r)
-			if !c.settings.Policy.Has(policy.Passing) {
-				left = room.Room{}
+			if !c.settings.Policy.Enabled(policy.Passing) {
+				left = room.Resources{}
 			}
 			continue
 		}
-		if !iso.admits(r.start.Suspicion) {
+		if !iso.admits(r.start.Isolation) {
 			waiting = append(waiting, r)
-			if r.start.Suspicion == runs.Alone {
-				left = room.Room{} // else the worker would never be empty
+			if r.start.Isolation == runs.IsolationExclusive {
+				left = room.Resources{} // else the worker would never be empty
 			}
 			continue
 		}
-		left = left.Minus(r.need)
-		iso.add(r.start.Suspicion)
+		left = left.Sub(r.need)
+		iso.add(r.start.Isolation)
 		c.orderStart(r, lease)
 	}
 	c.queue = waiting
@@ -188,7 +188,7 @@
 func (c *Core) orderStart(r *run, lease time.Duration) {
 	r.phase = phaseOrdered
 	r.orderedAt = c.now
-	r.incarnation = c.worker.info.Life()
+	r.incarnation = c.worker.info.Incarnation()
 	r.orderDeadline = c.worker.deadline(c.now, lease)
 	c.worker.recordDeadline(r.orderDeadline)
 	c.out.Orders = append(c.out.Orders, Order{
@@ -201,7 +201,7 @@
 func (c *Core) expireWaiting() {
 	for _, r := range append(runQueue(nil), c.queue...) {
 		if c.now.After(r.latestStart) {
-			c.terminate(r, runs.Late)
+			c.terminate(r, runs.ReasonStartTimeout)
 		}
 	}
 }
@@ -217,14 +217,14 @@
 func (c *Core) terminate(r *run, reason runs.Reason) {
 	if r.phase == phaseWaiting {
 		c.queue.remove(r)
-		c.finish(r, runs.End{Key: r.key, How: runs.Refused, Reason: reason})
+		c.finish(r, runs.End{Key: r.key, Outcome: runs.OutcomeRefused, Reason: reason})
 		return
 	}
 	if r.stopReason != runs.NoReason {
 		return
 	}
 	r.stopReason = reason
-	if reason == runs.Asked {
+	if reason == runs.ReasonStopRequested {
 		c.observeStopped(r)
 	}
 	c.orderStop(r)
@@ -256,16 +256,16 @@
 	if !wanted {
 		c.setEndDeadline(r, c.now)
 	}
-	c.terminate(r, runs.Asked)
+	c.terminate(r, runs.ReasonStopRequested)
 }
 
 // reportUnknown reports the end of a run that is not here, as far as it is known.
 func (c *Core) reportUnknown(l *link, key runs.Key) {
 	end, ok := c.recent.find(key)
 	if !ok {
-		end = runs.End{Key: key, How: runs.Gone}
+		end = runs.End{Key: key, Outcome: runs.OutcomeGone}
 		if len(c.retired.order) > 0 {
-			end.Reason = runs.Lapsed // it may have ended with a previous incarnation
+			end.Reason = runs.ReasonLeaseExpired // it may have ended with a previous incarnation
 		}
 	}
 	for h := range c.held.Values() {
@@ -296,7 +296,7 @@
 	c.runs.Delete(r.key)
 	c.loadChanged = true
 	c.recent.add(end)
-	c.recordDecision("end "+end.How.String(), r, end.Reason)
+	c.recordDecision("end "+end.Outcome.String(), r, end.Reason)
 	c.sendEnd(r.owner, end)
 }
 
@@ -316,7 +316,7 @@
 	if !r.orderedAt.IsZero() {
 		age = c.now.Sub(r.orderedAt)
 	}
-	c.out.Notes = append(c.out.Notes, Note{Event: event, Key: r.key, Entry: r.owner.Address, Reason: reason, Age: age})
+	c.out.Decisions = append(c.out.Decisions, Decision{Event: event, Key: r.key, Entry: r.owner.Address, Reason: reason, Age: age})
 }
 
 // maxRecentEnds is the number of remembered ends: a busy worker has as many in some seconds.
--- a/core/runner/stop_test.go
+++ b/core/runner/stop_test.go
@@ -26,12 +26,12 @@
 func TestRunStartedLateAfterItsJobWasCancelledIsStopped(t *testing.T) {
 	h := newHarness(t)
 	out := h.send(start, "t1")
-	h.Ordered(after(100), out.Orders[0], Answer{Verdict: NoAnswer})
+	h.OrderAnswered(after(100), out.Orders[0], Answer{Status: NoAnswer})
 	h.Receive(after(110), 1, &runs.ToAgent{Clock: after(110).UnixNano(), Stops: []runs.Key{key("t1")}})
 	first := h.Flush(after(110))
 	h.is.Equal(stopsOf(first), []runs.Key{key("t1")}) // the stop gets no answer either
 	for _, o := range first.Orders {
-		h.Ordered(after(210), o, Answer{Verdict: NoAnswer})
+		h.OrderAnswered(after(210), o, Answer{Status: NoAnswer})
 	}
 	h.Flush(after(210))
 	h.pollAt(after(400), Listing{Running: []Running{{Key: key("t1")}}}) // the start was carried out
@@ -42,8 +42,8 @@
 		stopped += len(stopsOf(h.Flush(after(ms))))
 	}
 	h.is.True(stopped >= 3) // each 150 ms until its end is listed
-	h.pollAt(after(1010), Listing{Ended: []Ended{{Number: 1, Key: key("t1"), How: runs.Stopped}}})
-	h.is.Equal(h.Runs(), 0)
+	h.pollAt(after(1010), Listing{Ended: []Ended{{Number: 1, Key: key("t1"), Outcome: runs.OutcomeStopped}}})
+	h.is.Equal(h.RunCount(), 0)
 }
 
 // TestUnknownRunIsStopped: the worker lists a run that this agent does not know, for example one
@@ -67,8 +67,8 @@
 func TestRunsOfALostEntryAreStopped(t *testing.T) {
 	h := newHarness(t)
 	out := h.send(start, "t1", "t2")
-	h.Ordered(after(1), out.Orders[0], Answer{Verdict: Accepted, Clock: 5001})
-	h.Ordered(after(100), out.Orders[1], Answer{Verdict: NoAnswer})
+	h.OrderAnswered(after(1), out.Orders[0], Answer{Status: Accepted, Clock: 5001})
+	h.OrderAnswered(after(100), out.Orders[1], Answer{Status: NoAnswer})
 	h.LinkDown(after(110), 1)
 	stopped := make(map[runs.Key]time.Duration)
 	for ms := 120; ms <= 600; ms += 20 {
--- a/core/runner/worker.go
+++ b/core/runner/worker.go
@@ -84,18 +84,18 @@
 // recordDeadline records a deadline that the worker may have received.
 func (w *workerState) recordDeadline(ms int64) { w.latestDeadline = max(w.latestDeadline, ms) }
 
-// Announced handles an announcement of the worker with a reading of its clock in ms. It returns
+// WorkerAnnounced handles an announcement of the worker with a reading of its clock in ms. It returns
 // false if the announced incarnation is retired.
-func (c *Core) Announced(now time.Time, info runs.Worker, clock int64) bool {
+func (c *Core) WorkerAnnounced(now time.Time, info runs.Worker, clock int64) bool {
 	c.now = now
-	if c.retired.has(info.Life()) {
+	if c.retired.has(info.Incarnation()) {
 		return false
 	}
 	if !c.worker.known {
 		c.startIncarnation(info, clock)
 		return true
 	}
-	if c.worker.info.Life() != info.Life() {
+	if c.worker.info.Incarnation() != info.Incarnation() {
 		c.worker.candidate = info
 		c.worker.candidateClock = clock
 		return true
@@ -106,7 +106,7 @@
 	c.worker.info = info
 	if changed {
 		if info.Draining {
-			c.refuseWaiting(runs.Draining)
+			c.refuseWaiting(runs.ReasonDraining)
 		}
 		c.refuseUnfitting()
 		c.sendWorkerToAll()
@@ -114,12 +114,12 @@
 	return true
 }
 
-// Recalled handles what the registry has of the worker, as announced to a previous process of
+// WorkerLoaded handles what the registry has of the worker, as announced to a previous process of
 // this agent. The first poll has no token; its answer contains the worker's clock or tells that
 // the incarnation is over.
-func (c *Core) Recalled(now time.Time, info runs.Worker) {
+func (c *Core) WorkerLoaded(now time.Time, info runs.Worker) {
 	c.now = now
-	if !c.worker.known && !c.retired.has(info.Life()) {
+	if !c.worker.known && !c.retired.has(info.Incarnation()) {
 		c.startIncarnation(info, 0)
 	}
 }
@@ -156,21 +156,21 @@
 	if c.worker.candidate.ID == "" {
 		return
 	}
-	c.retire(c.worker.candidate.Life())
+	c.retire(c.worker.candidate.Incarnation())
 	c.worker.candidate = runs.Worker{}
 }
 
 // retire records that an incarnation is over, so that its delayed announcements are rejected.
-func (c *Core) retire(incarnation runs.Life) { c.retired.add(incarnation) }
+func (c *Core) retire(incarnation runs.Incarnation) { c.retired.add(incarnation) }
 
 // loseWorker finishes the runs of the present incarnation, which is over.
 func (c *Core) loseWorker() {
 	c.held = ordered.Map[int64, *heldEnd]{} // the worker's list of ends is gone with the incarnation
 	if c.worker.known {
-		c.retire(c.worker.info.Life())
+		c.retire(c.worker.info.Incarnation())
 	}
 	c.markSuspect()
-	c.resolveExpiredEnds(c.currentLossReason() == runs.Crashed)
+	c.resolveExpiredEnds(c.currentLossReason() == runs.ReasonWorkerCrashed)
 	c.finishAll(c.currentLossReason())
 	c.worker = workerState{info: runs.Worker{Agent: c.settings.Agent}}
 	c.sendWorkerToAll()
@@ -182,7 +182,7 @@
 	for r := range c.runs.Values() {
 		if r.phase == phaseWaiting {
 			c.queue.remove(r)
-			c.finish(r, runs.End{Key: r.key, How: runs.Refused, Reason: runs.NoWorker})
+			c.finish(r, runs.End{Key: r.key, Outcome: runs.OutcomeRefused, Reason: runs.ReasonNoWorker})
 			continue
 		}
 		if r.phase == phaseOrdered && r.incarnation.Born != 0 {
@@ -190,14 +190,14 @@
 			continue
 		}
 		if !r.inFlight {
-			c.finish(r, c.lossEnd(r, runs.Stopped, reason))
+			c.finish(r, c.lossEnd(r, runs.OutcomeStopped, reason))
 		}
 	}
 }
 
-// Left handles the worker's message that an incarnation ends. Its runs are finished after
+// WorkerLeft handles the worker's message that an incarnation ends. Its runs are finished after
 // stopGrace, once it has had the time to end them.
-func (c *Core) Left(now time.Time, id string) {
+func (c *Core) WorkerLeft(now time.Time, id string) {
 	c.now = now
 	if !c.worker.known || c.worker.info.ID != id || !c.worker.leavingSince.IsZero() {
 		return
@@ -208,7 +208,7 @@
 	}
 	c.worker.leavingSince = now
 	c.worker.synced = false
-	c.refuseWaiting(runs.NoWorker)
+	c.refuseWaiting(runs.ReasonNoWorker)
 	c.sendWorkerToAll()
 }
 
@@ -235,7 +235,7 @@
 func (c *Core) countUnanswered() {
 	c.worker.unansweredPolls++
 	if c.worker.unansweredPolls == unansweredPollLimit {
-		c.refuseWaiting(runs.NoWorker)
+		c.refuseWaiting(runs.ReasonNoWorker)
 		c.sendWorkerToAll()
 	}
 }
@@ -262,7 +262,7 @@
 	c.worker.epoch++
 	c.markSuspect()
 	c.keepExpiredEnds()
-	c.finishAll(runs.Lapsed)
+	c.finishAll(runs.ReasonLeaseExpired)
 	c.sendWorkerToAll()
 }
 
@@ -305,7 +305,7 @@
 
 // reconcileRun reports the end of a run that an entry believes to be here but that is not, and
 // adopts an orphan.
-func (c *Core) reconcileRun(l *link, o runs.Owned) {
+func (c *Core) reconcileRun(l *link, o runs.OwnedRun) {
 	r := c.runs.Get(o.Key)
 	switch {
 	case r == nil:
@@ -326,12 +326,12 @@
 
 // stopOrphans stops orphans that no entry has claimed within AdoptWithin.
 func (c *Core) stopOrphans() {
-	if !c.worker.synced || c.now.Sub(c.worker.syncedAt) < c.settings.AdoptWithin {
+	if !c.worker.synced || c.now.Sub(c.worker.syncedAt) < c.settings.AdoptTimeout {
 		return
 	}
 	for r := range c.runs.Values() {
 		if r.orphan {
-			c.terminate(r, runs.NoLease)
+			c.terminate(r, runs.ReasonNoLease)
 		}
 	}
 }
--- a/core/subset/subset.go
+++ b/core/subset/subset.go
@@ -25,11 +25,11 @@
 
 // Limits of the subset of one agent.
 const (
-	// Total is the number of entries that an agent keeps links to. With fewer, the entries know the
+	// MaxLinks is the number of entries that an agent keeps links to. With fewer, the entries know the
 	// shared capacity of their agents better; with more, an entry finds free capacity on more
 	// workers. In simulated bursts of load, jobs earn 0.86 of their value with four or six entries,
 	// 0.81 with ten, 0.74 with 16 and 0.60 with all 55.
-	Total = 6
+	MaxLinks = 6
 	// MaxLocal is how many of them may be in the agent's own data centre. Those entries place most
 	// work on the agent, and no bytes cross between data centres then. The rest is in other data
 	// centres, so that entries in a data centre with a burst of load reach free capacity elsewhere.
@@ -44,7 +44,7 @@
 // Choose returns the subset of the known entries that an agent in dataCentre keeps links to, while
 // the data centres in drained are drained.
 func Choose(agent, dataCentre string, known []runs.Entry, drained []string) []runs.Entry {
-	if len(known) <= Total {
+	if len(known) <= MaxLinks {
 		return known
 	}
 	ranked := rank(agent, known)
@@ -83,20 +83,20 @@
 		}
 	}
 	localCount := min(len(local), MaxLocal)
-	remoteCount := min(len(remote), Total-localCount)
-	localCount = min(len(local), Total-remoteCount) // the other data centres may have too few entries for their share
+	remoteCount := min(len(remote), MaxLinks-localCount)
+	localCount = min(len(local), MaxLinks-remoteCount) // the other data centres may have too few entries for their share
 	return append(slices.Clone(local[:localCount]), remote[:remoteCount]...)
 }
 
-// OnDemand returns the entries that an agent links to in addition to its subset, because they are
+// ChooseOnDemand returns the entries that an agent links to in addition to its subset, because they are
 // short of agents. They are at most Total: after a network partition many entries may be short at
 // once, and each agent would otherwise link to all of them.
-func OnDemand(agent string, short []runs.Entry) []runs.Entry {
-	return rank(agent, short)[:min(len(short), Total)]
+func ChooseOnDemand(agent string, short []runs.Entry) []runs.Entry {
+	return rank(agent, short)[:min(len(short), MaxLinks)]
 }
 
-// Ranked returns addresses by their rendezvous score for an agent, the highest first.
-func Ranked(agent string, addresses []string) []string {
+// RankAddresses returns addresses by their rendezvous score for an agent, the highest first.
+func RankAddresses(agent string, addresses []string) []string {
 	entries := make([]runs.Entry, 0, len(addresses))
 	for _, a := range addresses {
 		entries = append(entries, runs.Entry{Address: a})
--- a/core/subset/subset_test.go
+++ b/core/subset/subset_test.go
@@ -23,7 +23,7 @@
 
 func TestSmallFleetsAreLinkedCompletely(t *testing.T) {
 	is := is.New(t)
-	for n := range Total + 1 {
+	for n := range MaxLinks + 1 {
 		is.Equal(len(Choose("a", "dc0", fleet(n, 4), nil)), n)
 	}
 }
@@ -33,7 +33,7 @@
 	for i := range 40 {
 		local := 0
 		chosen := Choose(agentName(i), "dc1", fleet(120, 6), nil)
-		is.Equal(len(chosen), Total)
+		is.Equal(len(chosen), MaxLinks)
 		for _, e := range chosen {
 			if e.DataCentre == "dc1" {
 				local++
@@ -41,8 +41,8 @@
 		}
 		is.Equal(local, MaxLocal)
 	}
-	is.Equal(len(Choose("a", "dc0", fleet(55, 1), nil)), Total) // no other data centre
-	is.Equal(len(Choose("a", "elsewhere", fleet(55, 5), nil)), Total)
+	is.Equal(len(Choose("a", "dc0", fleet(55, 1), nil)), MaxLinks) // no other data centre
+	is.Equal(len(Choose("a", "elsewhere", fleet(55, 5), nil)), MaxLinks)
 }
 
 // TestEveryEntryHasAgents checks that each entry has between half and twice the average number of
@@ -57,8 +57,8 @@
 		}
 	}
 	for _, e := range known {
-		is.True(links[e.Address] >= 240*Total/55/2)
-		is.True(links[e.Address] <= 240*Total/55*2)
+		is.True(links[e.Address] >= 240*MaxLinks/55/2)
+		is.True(links[e.Address] <= 240*MaxLinks/55*2)
 	}
 }
 
@@ -72,7 +72,7 @@
 		for i := range 4 * n {
 			total += len(Choose(agentName(i), fmt.Sprint("dc", i%6), known, nil))
 		}
-		is.Equal(total/n, 4*Total)
+		is.Equal(total/n, 4*MaxLinks)
 	}
 }
 
@@ -108,16 +108,16 @@
 	short := fleet(20, 6)
 	links := make(map[string]int)
 	for i := range 240 {
-		chosen := OnDemand(agentName(i), short)
-		is.Equal(len(chosen), Total)
+		chosen := ChooseOnDemand(agentName(i), short)
+		is.Equal(len(chosen), MaxLinks)
 		for _, e := range chosen {
 			links[e.Address]++
 		}
 	}
 	for _, e := range short {
-		is.True(links[e.Address] >= 240*Total/20/2)
+		is.True(links[e.Address] >= 240*MaxLinks/20/2)
 	}
-	is.Equal(len(OnDemand("a", short[:2])), 2)
+	is.Equal(len(ChooseOnDemand("a", short[:2])), 2)
 }
 
 func TestNeighboursAreFewAndReachAll(t *testing.T) {
@@ -167,7 +167,7 @@
 			continue // workers of the drained data centre take no work
 		}
 		chosen := Choose(agentName(i), dc, known, []string{"dc2"})
-		is.True(len(chosen) <= Total+MinPerDrainedDataCentre)
+		is.True(len(chosen) <= MaxLinks+MinPerDrainedDataCentre)
 		for _, e := range Choose(agentName(i), dc, known, nil) {
 			is.True(slices.Contains(chosen, e)) // no other link is given up for these
 		}
@@ -177,7 +177,7 @@
 	}
 	for _, e := range known {
 		if e.DataCentre == "dc2" {
-			is.True(links[e.Address] >= 200*Total/55) // the average without a drained data centre
+			is.True(links[e.Address] >= 200*MaxLinks/55) // the average without a drained data centre
 		}
 	}
 }
--- a/core/wake/wake.go
+++ b/core/wake/wake.go
@@ -31,8 +31,8 @@
 	ID    string
 	Power Power
 	Slots int
-	// Linked is set if there is a link to the agent of the worker.
-	Linked bool
+	// IsLinked is set if there is a link to the agent of the worker.
+	IsLinked bool
 	// Resting is set while the agent refuses new tasks because an entry asked it to rest.
 	Resting bool
 	// Load is the number of tasks at the agent by its last load report.
@@ -139,7 +139,7 @@
 	d.slowDemand += (1 - math.Exp(-elapsed.Seconds()/slowTimeConstant.Seconds())) * (demand - d.slowDemand)
 	for _, w := range workers {
 		startedAt, ok := d.wakeStarted[w.ID]
-		if ok && w.Linked {
+		if ok && w.IsLinked {
 			d.wakeTime += time.Duration(wakeTimeWeight * float64(now.Sub(startedAt)-d.wakeTime))
 			delete(d.wakeStarted, w.ID)
 		}
@@ -188,7 +188,7 @@
 			continue
 		}
 		awake++
-		if w.Linked && (least == nil || w.Load < least.Load) {
+		if w.IsLinked && (least == nil || w.Load < least.Load) {
 			least = w
 		}
 	}
@@ -210,7 +210,7 @@
 func readyToSleep(workers []Worker) []string {
 	var list []string
 	for _, w := range workers {
-		if w.Power == Awake && w.Linked && w.Resting && w.Load == 0 {
+		if w.Power == Awake && w.IsLinked && w.Resting && w.Load == 0 {
 			list = append(list, w.ID)
 		}
 	}
--- a/core/wake/wake_test.go
+++ b/core/wake/wake_test.go
@@ -13,9 +13,9 @@
 func newWorkers(awake, asleep int) []Worker {
 	var list []Worker
 	for i := range awake + asleep {
-		w := Worker{ID: strconv.Itoa(i), Slots: 8, Power: Awake, Linked: true}
+		w := Worker{ID: strconv.Itoa(i), Slots: 8, Power: Awake, IsLinked: true}
 		if i >= awake {
-			w.Power, w.Linked = Asleep, false
+			w.Power, w.IsLinked = Asleep, false
 		}
 		list = append(list, w)
 	}
--- a/lab/backendserver/server.go
+++ b/lab/backendserver/server.go
@@ -23,8 +23,8 @@
 
 // Faults are the faults that a server has at present; the zero value is a healthy server.
 type Faults struct {
-	// Slow multiplies run times; 0 means 1.
-	Slow float64
+	// SlowFactor multiplies run times; 0 means 1.
+	SlowFactor float64
 	// FailAll makes every task fail immediately with status 500.
 	FailAll bool
 }
@@ -40,8 +40,8 @@
 type Result struct {
 	Server string `json:"server"`
 	Kind   string `json:"kind"`
-	// Sum is the checksum of the payload; see Checksum.
-	Sum string `json:"sum"`
+	// Checksum is the checksum of the payload; see Checksum.
+	Checksum string `json:"sum"`
 }
 
 // runRequest is the part of a task's payload that the server reads.
@@ -101,9 +101,9 @@
 	return j.totalStarts, twice
 }
 
-// Twice returns the tasks that were started more than once, of those for which keep returns true, in no
+// StartedTwice returns the tasks that were started more than once, of those for which keep returns true, in no
 // particular order.
-func (j *Journal) Twice(keep func(task string) bool) []string {
+func (j *Journal) StartedTwice(keep func(task string) bool) []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	var tasks []string
@@ -156,9 +156,9 @@
 	s.faults = f
 }
 
-// Die ends the server immediately, as a crash would: running tasks get no answer, their connections
+// Kill ends the server immediately, as a crash would: running tasks get no answer, their connections
 // close. Further calls do nothing.
-func (s *Server) Die() {
+func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
@@ -212,7 +212,7 @@
 		ctx.Hijack(func(net.Conn) {})
 		return
 	}
-	body, err := json.Marshal(Result{Server: s.name, Kind: kind, Sum: Checksum(ctx.PostBody())})
+	body, err := json.Marshal(Result{Server: s.name, Kind: kind, Checksum: Checksum(ctx.PostBody())})
 	if err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
@@ -221,12 +221,12 @@
 	ctx.SetBody(body)
 }
 
-// Checksum returns the xxh3 checksum of a payload in hexadecimal, as in Result.Sum.
+// Checksum returns the xxh3 checksum of a payload in hexadecimal, as in Result.Checksum.
 func Checksum(payload []byte) string { return strconv.FormatUint(xxh3.Hash(payload), 16) }
 
 // runTime returns the run time of a task under faults.
 func runTime(request runRequest, faults Faults) time.Duration {
-	factor := faults.Slow
+	factor := faults.SlowFactor
 	if factor == 0 {
 		factor = 1
 	}
--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -61,7 +61,7 @@
 	ExtraName string
 	// spec returns the deployment of a point. load puts the load of a point on it until ctx ends, and
 	// returns Sample.Extra.
-	spec func(x float64) cluster.Shape
+	spec func(x float64) cluster.Spec
 	load func(ctx context.Context, c *cluster.Cluster, x float64) (float64, error)
 }
 
@@ -88,26 +88,26 @@
 }
 
 // currentSize returns the Association's deployment at its current size with all workers awake.
-func currentSize(float64) cluster.Shape {
+func currentSize(float64) cluster.Spec {
 	s := cluster.Association()
 	s.Document.Policy.MinAwake = s.Agents
 	return s
 }
 
-func withAgents(x float64) cluster.Shape {
+func withAgents(x float64) cluster.Spec {
 	s := currentSize(x)
 	s.Agents = int(x)
 	s.Document.Policy.MinAwake = s.Agents
 	return s
 }
 
-func withEntries(x float64) cluster.Shape {
+func withEntries(x float64) cluster.Spec {
 	s := withAgents(40)
 	s.Entries = int(x)
 	return s
 }
 
-func withTeams(x float64) cluster.Shape {
+func withTeams(x float64) cluster.Spec {
 	s := currentSize(x)
 	for i := range int(x) {
 		s.Document.Teams = append(s.Document.Teams, config.Team{
@@ -182,7 +182,7 @@
 func changeConfig(ctx context.Context, c *cluster.Cluster, changesPerSecond float64) (float64, error) {
 	store := confwatch.NewStore(c.Table)
 	slowest := 0.0
-	document, err := json.Marshal(c.Shape.Document)
+	document, err := json.Marshal(c.Spec.Document)
 	if err != nil {
 		return 0, eris.Wrap(err, "encode configuration")
 	}
--- a/lab/cluster/api_test.go
+++ b/lab/cluster/api_test.go
@@ -33,7 +33,7 @@
 // TestRefusalOfBadInputNamesField checks that every refusal of bad input has its error kind and names
 // the field, and that no task starts.
 func TestRefusalOfBadInputNamesField(t *testing.T) {
-	c := startCluster(t, func(s *Shape) { s.Agents, s.Entries = 1, 1 })
+	c := startCluster(t, func(s *Spec) { s.Agents, s.Entries = 1, 1 })
 	task := `{"service":"tally","kind":"tray-scan","payload":{}}`
 	cases := []struct {
 		name, body string
@@ -72,7 +72,7 @@
 // tokens of other roles, to an entry that is not in development mode.
 func TestCredentials(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, func(s *Shape) {
+	c := startCluster(t, func(s *Spec) {
 		s.Agents, s.Entries, s.Credentials = 1, 1, true
 		s.Document.Teams[0].Tokens = []config.Credential{{SHA256: config.HashToken("team-a")}, {SHA256: config.HashToken("old"), Expires: "2020-01-01T00:00:00Z"}}
 		s.Document.Teams = append(s.Document.Teams, config.Team{Name: "team-b", Tokens: []config.Credential{{SHA256: config.HashToken("team-b")}}})
@@ -158,7 +158,7 @@
 	if !ok {
 		return 0, false
 	}
-	document := c.Shape.Document
+	document := c.Spec.Document
 	document.Teams = append([]config.Team{{Name: fmt.Sprintf("team-%d-%d", operator, n)}}, document.Teams...)
 	body, err := json.Marshal(document)
 	if err != nil {
@@ -176,7 +176,7 @@
 // share a version when operators race and answers of the table service are lost.
 func TestRacingOperatorsLoseNoChange(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, func(s *Shape) { s.Agents = 1 })
+	c := startCluster(t, func(s *Spec) { s.Agents = 1 })
 	faults := c.TableFaults()
 	faults.LoseAnswers = 0.2
 	c.Table.SetFaults(faults)
--- a/lab/cluster/bench_test.go
+++ b/lab/cluster/bench_test.go
@@ -16,7 +16,7 @@
 
 // startBenchCluster starts the Association's deployment with all workers awake, which change may
 // alter, waits until it is ready, and stops it when the benchmark ends.
-func startBenchCluster(b *testing.B, change func(*Shape)) *Cluster {
+func startBenchCluster(b *testing.B, change func(*Spec)) *Cluster {
 	b.Helper()
 	spec := Association()
 	spec.Seed = 1
@@ -56,7 +56,7 @@
 
 // benchmarkCall sends b.N calls, rate a second at fixed times, to the entries in turn.
 func benchmarkCall(b *testing.B, keyed bool, rate int) {
-	c := startBenchCluster(b, func(*Shape) {})
+	c := startBenchCluster(b, func(*Spec) {})
 	clients := []*caller.Client{c.clientOf(0), c.clientOf(1), c.clientOf(2)}
 	responseTimes := make([]time.Duration, b.N)
 	var callsDone sync.WaitGroup
@@ -88,7 +88,7 @@
 func BenchmarkStarts(b *testing.B) {
 	const tasks = 140
 	const callers = 24
-	c := startBenchCluster(b, func(s *Shape) {
+	c := startBenchCluster(b, func(s *Spec) {
 		s.Entries, s.Slots, s.Queue, s.Connections = 1, 64, 64, 128
 		s.Tune = func(d *dispatch.Settings) { d.MaxWaiting = 100_000 }
 	})
@@ -125,7 +125,7 @@
 func BenchmarkTakeover(b *testing.B) {
 	var takeoverTimes []time.Duration
 	for i := range b.N {
-		c := startBenchCluster(b, func(*Shape) {})
+		c := startBenchCluster(b, func(*Spec) {})
 		key := fmt.Sprintf("takeover-%d", i)
 		j := newJob(key, "shift-close", 20, 100)
 		firstAnswer := make(chan error, 1)
@@ -146,7 +146,7 @@
 // replaces an entry meanwhile. It reports the time from the acceptance of a change until it is in
 // force on every running entry.
 func BenchmarkConfiguration(b *testing.B) {
-	c := startBenchCluster(b, func(s *Shape) { s.Entries = 4 })
+	c := startBenchCluster(b, func(s *Spec) { s.Entries = 4 })
 	faults := c.TableFaults()
 	faults.LoseAnswers, faults.DropRequests = 0.1, 0.1
 	c.Table.SetFaults(faults)
@@ -194,20 +194,20 @@
 // BenchmarkMembership measures how long it takes until all entries know that an agent has joined, is
 // leaving or has crashed, and reports the slowest of each.
 func BenchmarkMembership(b *testing.B) {
-	c := startBenchCluster(b, func(s *Shape) {
+	c := startBenchCluster(b, func(s *Spec) {
 		s.Asleep = 1
 		s.WakeTime = time.Hour
 		s.Document.Policy.MinAwake = 0
 		s.Document.Policy.Headroom = 0
 	})
 	worker := c.workerList()[len(c.workerList())-1].ID
-	n := len(c.Nodes())
+	n := len(c.RunningWorkers())
 	waitForUsable := func(want int) time.Duration {
 		began := time.Now()
 		for {
 			ok := true
 			for _, m := range c.Entries() {
-				ok = ok && m.Entry.Usable() == want
+				ok = ok && m.Entry.UsableAgents() == want
 			}
 			if ok {
 				return time.Since(began)
@@ -222,14 +222,14 @@
 			b.Fatal(err)
 		}
 		recordSlowest("join-s", waitForUsable(n+1))
-		go c.StopNode(worker)
+		go c.StopWorker(worker)
 		recordSlowest("leave-s", waitForUsable(n))
 		time.Sleep(time.Second)
 		if err := c.StartWorker(worker); err != nil {
 			b.Fatal(err)
 		}
 		waitForUsable(n + 1)
-		go c.KillNode(worker)
+		go c.KillWorker(worker)
 		recordSlowest("death-s", waitForUsable(n))
 		time.Sleep(time.Second)
 	}
--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -29,8 +29,8 @@
 	"peridotpick.example/service/transport"
 )
 
-// Shape describes a deployment.
-type Shape struct {
+// Spec describes a deployment.
+type Spec struct {
 	Region string
 	// DataCentres are assigned to the racks and to the entries in turn.
 	DataCentres []string
@@ -108,7 +108,7 @@
 
 // Cluster is a running deployment: its fake platform, its entries and its workers.
 type Cluster struct {
-	Shape   Shape
+	Spec    Spec
 	Table   *platformstandin.Table
 	Objects *platformstandin.Objects
 	Workers *platformstandin.Workers
@@ -135,18 +135,18 @@
 
 // Start stores the deployment's configuration and starts its entries and agents. It does not wait until
 // they are connected; see Ready.
-func Start(spec Shape) (*Cluster, error) {
+func Start(spec Spec) (*Cluster, error) {
 	if spec.Logs == nil {
 		spec.Logs = logs.Discard()
 	}
 	c := &Cluster{
-		Shape: spec, Table: platformstandin.NewTable(spec.Seed, 0, 0), Objects: platformstandin.NewObjects(),
+		Spec: spec, Table: platformstandin.NewTable(spec.Seed, 0, 0), Objects: platformstandin.NewObjects(),
 		Journal: backendserver.NewJournal(), runningWorkers: make(map[string]*RunningWorker),
 	}
 	c.Table.SetFaults(c.TableFaults())
 	c.Workers = platformstandin.NewWorkers(spec.WakeTime, c.workerList())
 	c.Workers.OnAwake = func(id string) { _ = c.StartWorker(id) }
-	c.Workers.OnAsleep = func(id string) { c.StopNode(id) }
+	c.Workers.OnAsleep = func(id string) { c.StopWorker(id) }
 	if err := c.servePlatform(); err != nil {
 		return nil, err
 	}
@@ -185,7 +185,7 @@
 
 // storeConfig checks the configuration and writes it to the table service as version 1.
 func (c *Cluster) storeConfig() error {
-	document, err := json.Marshal(c.Shape.Document)
+	document, err := json.Marshal(c.Spec.Document)
 	if err != nil {
 		return eris.Wrap(err, "encode configuration")
 	}
@@ -199,13 +199,13 @@
 // workerList returns the workers of the deployment, awake or asleep, as the platform lists them at
 // the start.
 func (c *Cluster) workerList() []table.Worker {
-	s := c.Shape
+	s := c.Spec
 	list := make([]table.Worker, s.Agents)
 	for i := range list {
 		rack := i / max(1, s.RackSize)
-		power := table.Awake
+		power := table.PowerAwake
 		if i >= s.Agents-s.Asleep {
-			power = table.Asleep
+			power = table.PowerAsleep
 		}
 		list[i] = table.Worker{
 			ID: fmt.Sprintf("worker-%03d", i+1), DataCentre: s.DataCentres[rack%len(s.DataCentres)],
@@ -222,9 +222,9 @@
 	defer c.mu.Unlock()
 	c.entriesStarted++
 	s := &settings.Entry{
-		ID: fmt.Sprintf("entry-%d", c.entriesStarted), Region: c.Shape.Region,
-		DataCentre: c.Shape.DataCentres[(c.entriesStarted-1)%len(c.Shape.DataCentres)],
-		Listen:     loopback, PeerListen: loopback, PeerAddress: loopback, Dev: !c.Shape.Credentials,
+		ID: fmt.Sprintf("entry-%d", c.entriesStarted), Region: c.Spec.Region,
+		DataCentre: c.Spec.DataCentres[(c.entriesStarted-1)%len(c.Spec.DataCentres)],
+		Listen:     loopback, PeerListen: loopback, PeerAddress: loopback, Dev: !c.Spec.Credentials,
 		Platform: settings.Platform{Address: c.platformAddress, Timeout: settings.Duration(2 * time.Second)},
 		Limits:   settings.DefaultEntryLimits(),
 	}
@@ -232,9 +232,9 @@
 	platform := tableclient.New(c.platformAddress, s.Platform.Timeout.Std())
 	registry := metrics.NewRegistry()
 	e, err := entry.New(s, entry.Deps{
-		Logs: c.Shape.Logs, Table: platform, Objects: platform.Objects(), Workers: platform.Workers(),
-		Transport: transport.New(nil), Metrics: registry, Policy: c.Shape.Policy,
-		Seed: c.Shape.Seed + uint64(c.entriesStarted), Tune: c.Shape.Tune,
+		Logs: c.Spec.Logs, Table: platform, Objects: platform.Objects(), Workers: platform.Workers(),
+		Transport: transport.New(nil), Metrics: registry, Policy: c.Spec.Policy,
+		Seed: c.Spec.Seed + uint64(c.entriesStarted), Tune: c.Spec.Tune,
 	})
 	if err != nil {
 		return nil, err
@@ -256,15 +256,15 @@
 	return append([]*EntryInstance(nil), c.entries...)
 }
 
-// Node returns the running worker with an ID, or nil.
-func (c *Cluster) Node(worker string) *RunningWorker {
+// RunningWorker returns the running worker with an ID, or nil.
+func (c *Cluster) RunningWorker(worker string) *RunningWorker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.runningWorkers[worker]
 }
 
-// Nodes returns the running workers in the order of the worker list.
-func (c *Cluster) Nodes() []*RunningWorker {
+// RunningWorkers returns the running workers in the order of the worker list.
+func (c *Cluster) RunningWorkers() []*RunningWorker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := make([]*RunningWorker, 0, len(c.runningWorkers))
@@ -295,7 +295,7 @@
 	}
 	go func() { _ = server.Serve() }()
 	a, err := agent.New(c.agentSettings(listed, server.Address()), agent.Deps{
-		Logs: c.Shape.Logs, Table: tableclient.New(c.platformAddress, time.Second), Transport: transport.New(nil),
+		Logs: c.Spec.Logs, Table: tableclient.New(c.platformAddress, time.Second), Transport: transport.New(nil),
 	})
 	if err != nil {
 		return err
@@ -314,10 +314,10 @@
 func (c *Cluster) agentSettings(w table.Worker, backend string) *settings.Agent {
 	s := settings.DefaultAgent()
 	s.ID = "agent-" + w.ID
-	s.Worker, s.Region, s.DataCentre, s.Rack = w.ID, c.Shape.Region, w.DataCentre, w.Rack
-	s.Service, s.Labels = c.Shape.Service, w.Labels
+	s.Worker, s.Region, s.DataCentre, s.Rack = w.ID, c.Spec.Region, w.DataCentre, w.Rack
+	s.Service, s.Labels = c.Spec.Service, w.Labels
 	s.Listen, s.Address, s.Backend = loopback, loopback, backend
-	s.Slots, s.Connections, s.Queue = c.Shape.Slots, c.Shape.Connections, c.Shape.Queue
+	s.Slots, s.Connections, s.Queue = c.Spec.Slots, c.Spec.Connections, c.Spec.Queue
 	s.Dev = true
 	for _, e := range c.entries {
 		s.Entries = append(s.Entries, e.Entry.Info().Address)
@@ -325,20 +325,20 @@
 	return &s
 }
 
-// StopNode drains the agent of a worker and then ends its backend server. It does nothing if the
+// StopWorker drains the agent of a worker and then ends its backend server. It does nothing if the
 // worker does not run.
-func (c *Cluster) StopNode(worker string) {
+func (c *Cluster) StopWorker(worker string) {
 	if running := c.removeWorker(worker); running != nil {
 		running.stop()
 		<-running.done
-		running.Server.Die()
+		running.Server.Kill()
 	}
 }
 
-// KillNode ends the agent and the backend server of a worker without draining, as a crash would.
-func (c *Cluster) KillNode(worker string) {
+// KillWorker ends the agent and the backend server of a worker without draining, as a crash would.
+func (c *Cluster) KillWorker(worker string) {
 	if running := c.removeWorker(worker); running != nil {
-		running.Server.Die()
+		running.Server.Kill()
 		running.Agent.Abort()
 		<-running.done
 	}
@@ -370,12 +370,12 @@
 
 // isReady reports whether the condition of Ready is met.
 func (c *Cluster) isReady() bool {
-	want := len(c.Nodes())
+	want := len(c.RunningWorkers())
 	for _, e := range c.Entries() {
 		if !e.Running() {
 			continue
 		}
-		if e.Entry.Linked() < min(want, want*settings.DefaultAgent().Fanout/max(1, c.runningEntries())) || !e.Entry.Configured() {
+		if e.Entry.LinkedAgents() < min(want, want*settings.DefaultAgent().Fanout/max(1, c.runningEntries())) || !e.Entry.IsConfigured() {
 			return false
 		}
 	}
@@ -401,9 +401,9 @@
 		go func() { defer stopping.Done(); e.Stop() }()
 	}
 	stopping.Wait()
-	for _, w := range c.Nodes() {
+	for _, w := range c.RunningWorkers() {
 		stopping.Add(1)
-		go func() { defer stopping.Done(); c.StopNode(w.Worker) }()
+		go func() { defer stopping.Done(); c.StopWorker(w.Worker) }()
 	}
 	stopping.Wait()
 	_ = c.platform.Close()
@@ -411,5 +411,5 @@
 
 // TableFaults returns the latencies of the deployment's table service without any fault.
 func (c *Cluster) TableFaults() platformstandin.Faults {
-	return platformstandin.Faults{WriteLatency: c.Shape.WriteLatency, ReadLatency: c.Shape.WriteLatency / 5, Jitter: 0.2}
+	return platformstandin.Faults{WriteLatency: c.Spec.WriteLatency, ReadLatency: c.Spec.WriteLatency / 5, Jitter: 0.2}
 }
--- a/lab/cluster/deployments.go
+++ b/lab/cluster/deployments.go
@@ -23,8 +23,8 @@
 const tableWriteLatency = 5 * time.Millisecond
 
 // Association returns the deployment of the Hospitality Waste Ledger Association at its current size.
-func Association() Shape {
-	return Shape{
+func Association() Spec {
+	return Spec{
 		Region: "nordkyst", DataCentres: []string{"hall-a", "hall-b", "hall-c", "hall-d"},
 		Service: AssociationService, Entries: 3, Agents: 11, Slots: 8, Connections: 64, Queue: 8,
 		RackSize: 3, Cores: 16, MemoryMB: 64 << 10, WakeTime: 2 * time.Second, WriteLatency: tableWriteLatency,
@@ -41,8 +41,8 @@
 }
 
 // Licensing returns the deployment of the Dog Licensing Unit at its current size.
-func Licensing() Shape {
-	return Shape{
+func Licensing() Spec {
+	return Spec{
 		Region: "selangor-sel", DataCentres: []string{"bilik-a", "bilik-b", "bilik-c"},
 		Service: LicensingService, Entries: 3, Agents: 11, Slots: 8, Connections: 64, Queue: 8,
 		RackSize: 3, Cores: 32, MemoryMB: 128 << 10, WakeTime: 2 * time.Second, WriteLatency: tableWriteLatency,
--- a/lab/cluster/guarantees_test.go
+++ b/lab/cluster/guarantees_test.go
@@ -19,7 +19,7 @@
 
 // startCluster starts a deployment with three entries and four workers, which change may alter, waits
 // until it is ready, and stops it when the test ends.
-func startCluster(t *testing.T, change func(*Shape)) *Cluster {
+func startCluster(t *testing.T, change func(*Spec)) *Cluster {
 	t.Helper()
 	spec := Association()
 	spec.Agents, spec.Entries, spec.Seed = 4, 3, 1
@@ -64,7 +64,7 @@
 	for i, raw := range results {
 		var result backendserver.Result
 		is.NoErr(json.Unmarshal(raw, &result))
-		is.Equal(result.Sum, backendserver.Checksum(j.Tasks[i].Payload))
+		is.Equal(result.Checksum, backendserver.Checksum(j.Tasks[i].Payload))
 		is.Equal(c.Journal.StartsOf(fmt.Sprintf("%s/%d", key, i)), 1)
 	}
 }
@@ -199,7 +199,7 @@
 // when an agent drains, and against calls sent to it afterwards.
 func TestStoppingBackendServerFinishesItsTasks(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, func(s *Shape) { s.Agents = 2 })
+	c := startCluster(t, func(s *Spec) { s.Agents = 2 })
 	j := newJob("k5", "shift-close", 12, 800)
 	done := make(chan error, 1)
 	var results []json.RawMessage
@@ -209,8 +209,8 @@
 		done <- err
 	}()
 	c.waitUntilClaimed("k5")
-	leaving := c.Nodes()[0]
-	c.StopNode(leaving.Worker)
+	leaving := c.RunningWorkers()[0]
+	c.StopWorker(leaving.Worker)
 	is.NoErr(<-done)
 	checkResults(t, c, "k5", j, results)
 	for n := range 8 {
@@ -291,9 +291,9 @@
 		}()
 	}
 	time.Sleep(150 * time.Millisecond)
-	c.KillNode(c.Nodes()[1].Worker)
+	c.KillWorker(c.RunningWorkers()[1].Worker)
 	calls.Wait()
-	is.Equal(len(c.Nodes()), 3)
+	is.Equal(len(c.RunningWorkers()), 3)
 }
 
 // TestAllEntriesReplacedAtOnce guards against agents that stay without an entry when all entries they
@@ -322,8 +322,8 @@
 // started.
 func TestNewAgentIncarnationIsUsedWithoutSecondStart(t *testing.T) {
 	is := is.New(t)
-	c := startCluster(t, func(s *Shape) { s.Agents = 1 })
-	worker := c.Nodes()[0].Worker
+	c := startCluster(t, func(s *Spec) { s.Agents = 1 })
+	worker := c.RunningWorkers()[0].Worker
 	j := newJob("k9", "shift-close", 2, 3000)
 	done := make(chan error, 1)
 	go func() { _, err := c.clientOf(0).Submit("k9", j); done <- err }()
@@ -331,7 +331,7 @@
 	for c.Journal.StartsOf("k9/0") == 0 {
 		time.Sleep(5 * time.Millisecond)
 	}
-	c.KillNode(worker)
+	c.KillWorker(worker)
 	is.NoErr(c.StartWorker(worker))
 	is.Equal(errorKind(<-done), errkind.FateUnknown)
 	is.Equal(c.Journal.StartsOf("k9/0"), 1)
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -66,7 +66,7 @@
 	users := []struct {
 		name     string
 		team     string
-		shape    cluster.Shape
+		shape    cluster.Spec
 		examples []example
 	}{
 		{"Hospitality Waste Ledger Association", cluster.AssociationTeam, cluster.Association(), associationExamples()},
@@ -85,7 +85,7 @@
 
 // runUser starts the deployment of one user, sends the examples to its entries in turn, and then the
 // first one again.
-func runUser(ctx context.Context, w io.Writer, name, team string, spec cluster.Shape, examples []example) error {
+func runUser(ctx context.Context, w io.Writer, name, team string, spec cluster.Spec, examples []example) error {
 	c, err := cluster.Start(spec)
 	if err != nil {
 		return err
@@ -120,7 +120,7 @@
 		if err := json.Unmarshal(raw, &result); err != nil {
 			return eris.Wrap(err, "decode result")
 		}
-		if want := backendserver.Checksum([]byte(ex.payloads[i])); result.Sum != want || result.Kind != ex.kinds[i] {
+		if want := backendserver.Checksum([]byte(ex.payloads[i])); result.Checksum != want || result.Kind != ex.kinds[i] {
 			return eris.Errorf("task %d: got the answer to another request: %+v", i, result)
 		}
 		tasksByServer[result.Server]++
@@ -145,7 +145,7 @@
 
 // resubmit sends an example again, with the same key, to the last entry: the answer must be the same and
 // no task may start again.
-func resubmit(w io.Writer, c *cluster.Cluster, team string, spec cluster.Shape, ex example) error {
+func resubmit(w io.Writer, c *cluster.Cluster, team string, spec cluster.Spec, ex example) error {
 	before, _ := c.Journal.Total()
 	if err := runExample(w, caller.New(c.Entries()[spec.Entries-1].Entry.Address(), team), spec.Service,
 		example{title: ex.title + ", again", key: ex.key, kinds: ex.kinds, payloads: ex.payloads}); err != nil {
--- a/lab/emulator/agent.go
+++ b/lab/emulator/agent.go
@@ -61,7 +61,7 @@
 	links                 ordered.Map[runner.LinkID, *simLink]
 	// announcedIncarnation and announcementNumber identify the newest announcement received from
 	// the worker.
-	announcedIncarnation runs.Life
+	announcedIncarnation runs.Incarnation
 	announcementNumber   int
 	// registered is the worker as stored in the registry; the agent reads it when it starts.
 	registered runs.Worker
@@ -99,16 +99,16 @@
 	a.dead = false
 	a.polling = false
 	a.links = ordered.Map[runner.LinkID, *simLink]{}
-	settings := runner.Standard()
+	settings := runner.DefaultSettings()
 	settings.Agent, settings.Policy = a.worker.name, config.policy
-	settings.OwnerLease, settings.WorkerLease, settings.LookWait = config.ownerLease, config.workerLease, config.pollWait
-	settings.LongestLease = config.longestLease
+	settings.OwnerLease, settings.WorkerLease, settings.PollWait = config.ownerLease, config.workerLease, config.pollWait
+	settings.MaxWorkerLease = config.longestLease
 	a.core = runner.New(settings)
 	a.scheduleTick()
 	a.scheduleAnnouncement()
 	if a.registered.ID != "" {
 		registered := a.registered
-		a.deliver(10*time.Millisecond, func() { a.handleEvent(func() { a.core.Recalled(a.sim.now, registered) }) })
+		a.deliver(10*time.Millisecond, func() { a.handleEvent(func() { a.core.WorkerLoaded(a.sim.now, registered) }) })
 	}
 }
 
@@ -129,10 +129,10 @@
 		a.drained = drained
 		a.chosen = a.sim.config.chosenEntries(a.worker, drained)
 	}
-	all := a.core.Unsettled()
+	all := a.core.HasUndeliveredEnds()
 	entries := make(map[string]bool)
 	for _, e := range a.sim.entries {
-		if all || a.chosen[e.address] || !e.dead && e.core.Short(!e.partitioned) {
+		if all || a.chosen[e.address] || !e.dead && e.core.IsShortOfAgents(!e.partitioned) {
 			entries[e.address] = true
 		}
 	}
@@ -151,7 +151,7 @@
 		} else {
 			a.core.Release(a.sim.now, id)
 		}
-		a.core.OnDemand(a.sim.now, id, !a.chosen[l.entry.address])
+		a.core.SetOnDemand(a.sim.now, id, !a.chosen[l.entry.address])
 	}
 	for _, e := range a.sim.entries {
 		if entries[e.address] {
@@ -182,12 +182,12 @@
 		delay = time.Duration(sim.rand.IntN(3000)) * time.Millisecond
 	}
 	a.deliver(delay, func() {
-		if info.Life() == a.announcedIncarnation && number < a.announcementNumber {
+		if info.Incarnation() == a.announcedIncarnation && number < a.announcementNumber {
 			return // out of order; the announcement handler of the agent drops it as well
 		}
-		a.announcedIncarnation, a.announcementNumber = info.Life(), number
+		a.announcedIncarnation, a.announcementNumber = info.Incarnation(), number
 		a.registered = info
-		a.handleEvent(func() { a.core.Announced(sim.now, info, clock) })
+		a.handleEvent(func() { a.core.WorkerAnnounced(sim.now, info, clock) })
 	})
 }
 
@@ -201,10 +201,10 @@
 // perform applies the output of the core.
 func (a *agentProcess) perform() {
 	out := a.core.Flush(a.sim.now)
-	for _, n := range out.Notes {
+	for _, n := range out.Decisions {
 		a.sim.logEvent("%s %s %s/%d %s %v", a.worker.name, n.Event, n.Key.Task, n.Key.Run, n.Reason, n.Worker)
 	}
-	for _, id := range out.Closes {
+	for _, id := range out.CloseLinks {
 		if l := a.links.Get(id); l != nil {
 			l.close()
 		}
@@ -246,14 +246,14 @@
 	sim.schedule(delay, func() {
 		answer := a.worker.order(o, need)
 		sim.schedule(delay, func() {
-			a.handle(incarnation, func() { a.handleEvent(func() { a.core.Ordered(sim.now, o, answer) }) })
+			a.handle(incarnation, func() { a.handleEvent(func() { a.core.OrderAnswered(sim.now, o, answer) }) })
 		})
 	})
 }
 
 func (a *agentProcess) deliverNoAnswer(o runner.Order) {
 	a.deliver(120*time.Millisecond, func() {
-		a.handleEvent(func() { a.core.Ordered(a.sim.now, o, runner.Answer{Verdict: runner.NoAnswer}) })
+		a.handleEvent(func() { a.core.OrderAnswered(a.sim.now, o, runner.Answer{Status: runner.NoAnswer}) })
 	})
 }
 
@@ -262,7 +262,7 @@
 	if a.polling {
 		return
 	}
-	poll, ok := a.core.NextLook(a.sim.now)
+	poll, ok := a.core.NextPoll(a.sim.now)
 	if !ok {
 		return
 	}
@@ -276,7 +276,7 @@
 				}
 				answered = true
 				a.polling = false
-				a.handleEvent(func() { a.core.Looked(a.sim.now, poll, result, listing) })
+				a.handleEvent(func() { a.core.PollAnswered(a.sim.now, poll, result, listing) })
 			})
 		})
 	}
@@ -290,7 +290,7 @@
 	} else {
 		a.sim.schedule(300*time.Microsecond, func() { a.worker.poll(poll, answer) })
 	}
-	a.sim.schedule(poll.Wait+150*time.Millisecond, func() { answer(runner.Answer{Verdict: runner.NoAnswer}, runner.Listing{}) })
+	a.sim.schedule(poll.Wait+150*time.Millisecond, func() { answer(runner.Answer{Status: runner.NoAnswer}, runner.Listing{}) })
 }
 
 // kill ends the process. A new one starts after the downtime.
--- a/lab/emulator/bench_test.go
+++ b/lab/emulator/bench_test.go
@@ -19,6 +19,6 @@
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		Play(d, s, policy.Policy{}, 1, false)
+		Simulate(d, s, policy.Policy{}, 1, false)
 	}
 }
--- a/lab/emulator/callers.go
+++ b/lab/emulator/callers.go
@@ -39,10 +39,10 @@
 }
 
 // needOf returns the resources that a task needs.
-func (j *jobSpec) needOf(task string) room.Room {
+func (j *jobSpec) needOf(task string) room.Resources {
 	step, _ := stepAndIndex(task)
 	if step >= len(j.steps) {
-		return room.Room{}
+		return room.Resources{}
 	}
 	return j.steps[step].Need
 }
@@ -123,7 +123,7 @@
 		sim.closeRequest(e, r)
 		sim.logEvent("caller gives %s up at %s", r.job.name, e.address)
 		e.deliver(sim.config.callerLatency, func() {
-			e.core.Cancel(sim.now, r.id)
+			e.core.CancelRequest(sim.now, r.id)
 			e.perform()
 		})
 		if retry {
@@ -218,9 +218,9 @@
 }
 
 // needOf returns the resources that a run takes at its worker.
-func (sim *simulation) needOf(key runs.Key) room.Room {
+func (sim *simulation) needOf(key runs.Key) room.Resources {
 	if j := sim.jobs[key.Job()]; j != nil {
 		return j.needOf(key.Task)
 	}
-	return room.Room{}
+	return room.Resources{}
 }
--- a/lab/emulator/chart.go
+++ b/lab/emulator/chart.go
@@ -39,7 +39,7 @@
 
 // Draw writes two charts into dir: the outcomes of the jobs by the time at which they were
 // submitted, and by kind. They show the sums over all seeds.
-func (o *Outcome) Draw(dir string) error {
+func (o *ExperimentResult) Draw(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return eris.Wrap(err, "create the report directory")
 	}
--- a/lab/emulator/checker.go
+++ b/lab/emulator/checker.go
@@ -78,9 +78,9 @@
 		c.runningOn[key.Task] = make(map[*worker]bool)
 	}
 	c.runningOn[key.Task][w] = true
-	used := room.Room{}
+	used := room.Resources{}
 	for r := range w.running.Values() {
-		used = used.Plus(r.need)
+		used = used.Add(r.need)
 	}
 	if !w.maxRecentCapacity(capacityDelay).Fits(used) {
 		c.reportViolation("%s is over its room: %+v", w.id, used)
--- a/lab/emulator/compare.go
+++ b/lab/emulator/compare.go
@@ -16,15 +16,15 @@
 	Deployment *Deployment
 	Scenario   *Scenario
 	Policy     policy.Policy
-	// First is the first seed, Seeds the number of seeds.
-	First uint64
-	Seeds int
-	// Jobs limits the trials that run concurrently; 0 stands for half of the processors.
-	Jobs int
+	// FirstSeed is the first seed, Seeds the number of seeds.
+	FirstSeed uint64
+	Seeds     int
+	// Parallelism limits the trials that run concurrently; 0 stands for half of the processors.
+	Parallelism int
 }
 
-// Outcome is the result of an experiment.
-type Outcome struct {
+// ExperimentResult is the result of an experiment.
+type ExperimentResult struct {
 	Deployment string             `json:"deployment"`
 	Scenario   string             `json:"scenario"`
 	Without    []policy.Mechanism `json:"without,omitempty"`
@@ -36,8 +36,8 @@
 
 // Run runs the trials of the experiment. The outcome depends on the deployment, the scenario, the
 // policy and the seeds only.
-func (e *Experiment) Run(ctx context.Context) (*Outcome, error) {
-	jobs := e.Jobs
+func (e *Experiment) Run(ctx context.Context) (*ExperimentResult, error) {
+	jobs := e.Parallelism
 	if jobs <= 0 {
 		jobs = max(runtime.NumCPU()/2, 1)
 	}
@@ -49,19 +49,19 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			trials[i] = Play(e.Deployment, e.Scenario, e.Policy, e.First+uint64(i), false).Summarize()
+			trials[i] = Simulate(e.Deployment, e.Scenario, e.Policy, e.FirstSeed+uint64(i), false).Summarize()
 			return nil
 		})
 	}
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	out := &Outcome{Deployment: e.Deployment.Name, Scenario: e.Scenario.Name, Without: e.Policy.Missing(), Trials: trials}
+	out := &ExperimentResult{Deployment: e.Deployment.Name, Scenario: e.Scenario.Name, Without: e.Policy.Disabled(), Trials: trials}
 	out.Score, out.StdDev = meanStdDev(out.scores())
 	return out, nil
 }
 
-func (o *Outcome) scores() []float64 {
+func (o *ExperimentResult) scores() []float64 {
 	list := make([]float64, len(o.Trials))
 	for i := range o.Trials {
 		list[i] = o.Trials[i].Score
@@ -69,8 +69,8 @@
 	return list
 }
 
-// Broken returns the violations of guarantees in all trials.
-func (o *Outcome) Broken() []string {
+// Violations returns the violations of guarantees in all trials.
+func (o *ExperimentResult) Violations() []string {
 	var list []string
 	for i := range o.Trials {
 		list = append(list, o.Trials[i].Violations...)
@@ -89,8 +89,8 @@
 
 // Comparison is the difference between two policies, paired by seed.
 type Comparison struct {
-	Base  *Outcome `json:"base"`
-	Other *Outcome `json:"other"`
+	Base  *ExperimentResult `json:"base"`
+	Other *ExperimentResult `json:"other"`
 	// Difference is the mean over the seeds of the score of other minus that of base, StdError its
 	// standard error, Better the number of seeds on which other has the higher score.
 	Difference float64 `json:"difference"`
@@ -99,7 +99,7 @@
 }
 
 // Compare compares two outcomes of the same seeds.
-func Compare(base, other *Outcome) *Comparison {
+func Compare(base, other *ExperimentResult) *Comparison {
 	c := &Comparison{Base: base, Other: other}
 	var differences []float64
 	for i := range base.Trials {
--- a/lab/emulator/config.go
+++ b/lab/emulator/config.go
@@ -15,7 +15,7 @@
 type simConfig struct {
 	dataCentres []dataCentreConfig
 	// capacity returns the resources of the n-th worker.
-	capacity func(n int) room.Room
+	capacity func(n int) room.Resources
 	// rackSize is the number of consecutive workers in a rack.
 	rackSize int
 	// resend is the time after which a caller whose connection broke submits its job again.
@@ -99,7 +99,7 @@
 
 // setLeases derives the leases from the resend time, as in production.
 func (config *simConfig) setLeases(longest time.Duration) {
-	times := leases.For(config.resend, maxStopTime, longest)
-	config.ownerLease, config.workerLease, config.runEndTimeout = times.Owner, times.Worker, times.RunsOver
+	times := leases.ForResend(config.resend, maxStopTime, longest)
+	config.ownerLease, config.workerLease, config.runEndTimeout = times.Owner, times.Worker, times.RunExpiry
 	config.longestLease = longest
 }
--- a/lab/emulator/deployment.go
+++ b/lab/emulator/deployment.go
@@ -30,8 +30,8 @@
 	DataCentres []DataCentre `json:"dataCentres"`
 	// Capacity is the capacity of a worker of size 1. Sizes are factors on its CPU, assigned to the
 	// workers in rotation.
-	Capacity room.Room `json:"room"`
-	Sizes    []float64 `json:"sizes"`
+	Capacity room.Resources `json:"room"`
+	Sizes    []float64      `json:"sizes"`
 	// RackSize is the number of workers in a rack.
 	RackSize int `json:"rackSize"`
 	// LocalLatency, RemoteLatency and CallerLatency are the one-way latencies within a data centre,
@@ -259,9 +259,9 @@
 	config := &simConfig{
 		rackSize: d.RackSize, resend: d.Resend.Std(), ownershipTTL: ownershipTTL, entrySilenceTimeout: entrySilenceTimeout,
 		localLatency: d.LocalLatency.Std(), remoteLatency: d.RemoteLatency.Std(), callerLatency: d.CallerLatency.Std(), jitter: latencyJitter,
-		announceInterval: d.AnnounceInterval.Std(), pollWait: runner.Standard().LookWait, crossCost: batch.Standard().CrossCost, remoteFactor: remoteFactor,
+		announceInterval: d.AnnounceInterval.Std(), pollWait: runner.DefaultSettings().PollWait, crossCost: batch.DefaultSettings().CrossDataCentreCost, remoteFactor: remoteFactor,
 		bootEntry: d.EntryBootTime.Std(), bootAgent: d.AgentBootTime.Std(), policy: p,
-		capacity: func(n int) room.Room {
+		capacity: func(n int) room.Resources {
 			r := d.Capacity
 			r.CPU = int(float64(r.CPU) * d.Sizes[n%len(d.Sizes)])
 			return r
--- a/lab/emulator/drains.go
+++ b/lab/emulator/drains.go
@@ -56,8 +56,8 @@
 	}
 }
 
-func (s *store) drainView() runs.Drains {
-	return runs.Drains{Version: s.version + 1, DataCentres: slices.Sorted(maps.Keys(s.drained))}
+func (s *store) drainView() runs.DrainView {
+	return runs.DrainView{Version: s.version + 1, DataCentres: slices.Sorted(maps.Keys(s.drained))}
 }
 
 // drainLoop reads the drained data centres from the store at intervals and sends the entry's view
@@ -88,9 +88,9 @@
 	return !e.dead && !e.partitioned && !e.storeDenied && !e.sim.store.down && !e.sim.now.Before(e.suspendedUntil)
 }
 
-func (e *entryProcess) updateDrains(view runs.Drains) {
-	e.drains.Learn(e.sim.now, view)
-	e.core.LearnDrains(e.sim.now, e.drains.View(e.sim.now))
+func (e *entryProcess) updateDrains(view runs.DrainView) {
+	e.drains.Update(e.sim.now, view)
+	e.core.UpdateDrains(e.sim.now, e.drains.View(e.sim.now))
 	e.perform()
 }
 
@@ -107,7 +107,7 @@
 	}
 	a.deliver(storeOneWay, func() {
 		view := sim.store.drainView()
-		a.deliver(storeOneWay, func() { a.handleEvent(func() { a.core.LearnDrains(sim.now, view) }) })
+		a.deliver(storeOneWay, func() { a.handleEvent(func() { a.core.UpdateDrains(sim.now, view) }) })
 	})
 }
 
--- a/lab/emulator/entry.go
+++ b/lab/emulator/entry.go
@@ -47,16 +47,16 @@
 	e.self = runs.Entry{Address: e.address, Incarnation: e.sim.nextIncarnation}
 	e.links = ordered.Map[batch.LinkID, *simLink]{}
 	e.openRequests = ordered.Map[batch.RequestID, *request]{}
-	settings := batch.Standard()
+	settings := batch.DefaultSettings()
 	settings.Seed, settings.DataCentre, settings.Policy = e.sim.nextIncarnation, e.dataCentre, config.policy
 	settings.OwnerLease, settings.WorkerLease = config.ownerLease, config.runEndTimeout
-	settings.RemoteFactor, settings.CrossCost = config.remoteFactor, config.crossCost
+	settings.RemoteFactor, settings.CrossDataCentreCost = config.remoteFactor, config.crossCost
 	e.core = batch.New(settings)
 	e.drains, e.drainsReadAt = drains.State{}, time.Time{}
 	e.durableWaiters = make(map[ledger.RequestID]func(errkind.Kind))
 	e.ledger = ledger.New(ledger.Settings{
-		Self: e.self, OwnFor: config.ownershipTTL, RunsOver: config.ownerLease + config.runEndTimeout, SilentAfter: config.entrySilenceTimeout,
-		KeepEnded: time.Hour, MaxOpen: 1000,
+		Self: e.self, OwnershipTTL: config.ownershipTTL, RunExpiry: config.ownerLease + config.runEndTimeout, SilenceTimeout: config.entrySilenceTimeout,
+		EndedRetention: time.Hour, MaxOpenJobs: 1000,
 	}, e.sim.now)
 	e.scheduleTick()
 	e.pollChanges(0, true)
@@ -86,10 +86,10 @@
 // flush applies the present output of the cores. It reports whether this gave new input to the core.
 func (e *entryProcess) flush() bool {
 	out := e.core.Flush(e.sim.now)
-	for _, n := range out.Notes {
-		e.sim.logEvent("%s %s %s %s/%d on %s %s %s", e.address, n.Event, n.Job, n.Key.Task, n.Key.Run, n.Worker, n.How, n.Reason)
+	for _, n := range out.Decisions {
+		e.sim.logEvent("%s %s %s %s/%d on %s %s %s", e.address, n.Event, n.Job, n.Key.Task, n.Key.Run, n.Worker, n.Outcome, n.Reason)
 	}
-	for _, id := range out.Closes {
+	for _, id := range out.CloseLinks {
 		if l := e.links.Get(id); l != nil {
 			l.close()
 		}
@@ -117,7 +117,7 @@
 			continue
 		}
 		other.deliver(gossipInterval/4, func() {
-			other.core.LearnSuspects(e.sim.now, list)
+			other.core.MergeSuspects(e.sim.now, list)
 			other.perform()
 		})
 	}
--- a/lab/emulator/links.go
+++ b/lab/emulator/links.go
@@ -29,7 +29,7 @@
 		a.links.Put(runner.LinkID(l.id), l)
 		a.handleEvent(func() {
 			a.core.LinkUp(sim.now, runner.LinkID(l.id), self)
-			a.core.OnDemand(sim.now, runner.LinkID(l.id), !a.chosen[e.address])
+			a.core.SetOnDemand(sim.now, runner.LinkID(l.id), !a.chosen[e.address])
 		})
 	})
 	sim.watchLink(l, agentIncarnation, entryIncarnation)
@@ -53,7 +53,7 @@
 func (sim *simulation) watchLink(l *simLink, agentIncarnation, entryIncarnation int) {
 	sim.schedule(50*time.Millisecond, func() {
 		silenceTimeout := 1500 * time.Millisecond
-		if l.agent.core.Owes(runner.LinkID(l.id)) {
+		if l.agent.core.EntryHasRuns(runner.LinkID(l.id)) {
 			silenceTimeout = 260 * time.Millisecond
 		}
 		ended := l.agent.incarnation != agentIncarnation || l.entry.incarnation != entryIncarnation || l.agent.dead || l.entry.dead
--- a/lab/emulator/report.go
+++ b/lab/emulator/report.go
@@ -7,8 +7,8 @@
 	"text/tabwriter"
 )
 
-// PrintHead writes the header of the table of outcomes.
-func PrintHead(out io.Writer) *tabwriter.Writer {
+// PrintHeader writes the header of the table of outcomes.
+func PrintHeader(out io.Writer) *tabwriter.Writer {
 	const cellGap = 2
 	table := tabwriter.NewWriter(out, 0, 0, cellGap, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "scenario\twithout\tworth\t±\tbound\tnines\twindows\tkind\twasted\theld\tjobs\tin time\tlate\trefused\tfailed\tbroken\t")
@@ -16,7 +16,7 @@
 }
 
 // PrintRow writes an outcome as a table row: means over its seeds, and job counts summed over them.
-func (o *Outcome) PrintRow(table io.Writer) {
+func (o *ExperimentResult) PrintRow(table io.Writer) {
 	var c Count
 	var sum Summary
 	n := float64(len(o.Trials))
@@ -31,11 +31,11 @@
 	share := func(part int) float64 { return float64(part) / float64(max(c.Jobs, 1)) }
 	fmt.Fprintf(table, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.3f\t%.4f\t%d\t%.4f\t%.4f\t%.4f\t%.4f\t%d\t\n",
 		o.Scenario, o.disabledMechanisms(), o.Score, o.StdDev, sum.Bound, sum.Nines, sum.WorstWindows, sum.WorstKind, sum.Wasted, sum.VainWait,
-		c.Jobs, share(c.InTime), share(c.Late), share(c.Refused), share(c.Failed), len(o.Broken()))
+		c.Jobs, share(c.InTime), share(c.Late), share(c.Refused), share(c.Failed), len(o.Violations()))
 }
 
 // disabledMechanisms returns the names of the mechanisms that were disabled, or "-".
-func (o *Outcome) disabledMechanisms() string {
+func (o *ExperimentResult) disabledMechanisms() string {
 	if len(o.Without) == 0 {
 		return "-"
 	}
--- a/lab/emulator/schedule_test.go
+++ b/lab/emulator/schedule_test.go
@@ -18,7 +18,7 @@
 func testConfig() *simConfig {
 	return &simConfig{
 		dataCentres: []dataCentreConfig{{name: "d", entries: 2, workers: 4}},
-		capacity:    func(int) room.Room { return room.Room{CPU: 8000, Memory: 8000} }, rackSize: 4,
+		capacity:    func(int) room.Resources { return room.Resources{CPU: 8000, Memory: 8000} }, rackSize: 4,
 		resend: 1300 * time.Millisecond, ownerLease: 390 * time.Millisecond, workerLease: 780 * time.Millisecond,
 		runEndTimeout: 900 * time.Millisecond, longestLease: 5 * time.Second, ownershipTTL: 2 * time.Second, entrySilenceTimeout: 800 * time.Millisecond,
 		localLatency: 300 * time.Microsecond, jitter: 1200 * time.Microsecond, callerLatency: 3 * time.Millisecond,
@@ -32,7 +32,7 @@
 
 // testJob returns a job of one step, the work of whose tasks is drawn at each start.
 func testJob(sim *simulation, name string, tasks, submissions int) *jobSpec {
-	need := room.Room{CPU: 1500 + sim.rand.IntN(1500), Memory: 10}
+	need := room.Resources{CPU: 1500 + sim.rand.IntN(1500), Memory: 10}
 	return &jobSpec{
 		name: name, queue: testQueue, submissionsLeft: submissions, timeout: testTimeout,
 		steps: []batch.Step{{Count: tasks, Need: need, Estimate: 200 * time.Millisecond}},
--- a/lab/emulator/simulation.go
+++ b/lab/emulator/simulation.go
@@ -71,7 +71,7 @@
 func newSimulation(seed uint64, config *simConfig) *simulation {
 	sim := &simulation{config: config, now: simulationStart, rand: rand.New(rand.NewPCG(seed, 7)), jobs: make(map[string]*jobSpec)}
 	sim.checker = newChecker(sim)
-	sim.store = &store{sim: sim, rows: make(map[string]ledger.Stored), drained: make(map[string]time.Time)}
+	sim.store = &store{sim: sim, rows: make(map[string]ledger.StoredRow), drained: make(map[string]time.Time)}
 	for _, c := range config.dataCentres {
 		for range c.workers {
 			n := len(sim.workers)
--- a/lab/emulator/stats.go
+++ b/lab/emulator/stats.go
@@ -68,12 +68,12 @@
 }
 
 // addRun adds the work of a run that has ended.
-func (s *stats) addRun(w *worker, r *workerRun, outcome runs.How) {
+func (s *stats) addRun(w *worker, r *workerRun, outcome runs.Outcome) {
 	if s == nil {
 		return
 	}
 	work := r.workDone(w.sim.now).Seconds() * float64(r.need.CPU) / milliCoresPerCore
-	if outcome == runs.Done {
+	if outcome == runs.OutcomeDone {
 		s.doneWork += work
 		return
 	}
--- a/lab/emulator/store.go
+++ b/lab/emulator/store.go
@@ -19,9 +19,9 @@
 // out late, and outages for all or for single entries.
 type store struct {
 	sim     *simulation
-	rows    map[string]ledger.Stored
+	rows    map[string]ledger.StoredRow
 	version uint64
-	changes []ledger.Stored
+	changes []ledger.StoredRow
 	down    bool
 	// answerLossShare is the share of writes whose answer is lost; half of these are carried out
 	// late, the others not at all. The entry repeats them in any case.
@@ -31,14 +31,14 @@
 }
 
 // write applies a write if the stored row has the expected version.
-func (s *store) write(write ledger.Write) ledger.Outcome {
+func (s *store) write(write ledger.Write) ledger.WriteResult {
 	stored := s.rows[write.Job]
-	if stored.Version != write.Expect {
+	if stored.Version != write.ExpectVersion {
 		stored.Job = write.Job
-		return ledger.Outcome{Fate: ledger.Conflict, Current: stored}
+		return ledger.WriteResult{Status: ledger.Conflict, Current: stored}
 	}
 	s.version++
-	changed := ledger.Stored{Job: write.Job, Row: write.Row, Version: s.version}
+	changed := ledger.StoredRow{Job: write.Job, Row: write.Row, Version: s.version}
 	s.changes = append(s.changes, changed)
 	if write.Row == nil {
 		delete(s.rows, write.Job)
@@ -46,11 +46,11 @@
 		s.rows[write.Job] = changed
 		s.sim.recordDurableEnd(changed)
 	}
-	return ledger.Outcome{Fate: ledger.Applied, Version: s.version}
+	return ledger.WriteResult{Status: ledger.Applied, Version: s.version}
 }
 
-func (s *store) changesAfter(version uint64) []ledger.Stored {
-	var list []ledger.Stored
+func (s *store) changesAfter(version uint64) []ledger.StoredRow {
+	var list []ledger.StoredRow
 	for _, c := range s.changes {
 		if c.Version > version {
 			list = append(list, c)
@@ -74,9 +74,9 @@
 		sim.schedule(storeOneWay, func() {
 			e.handle(incarnation, func() {
 				if first {
-					e.ledger.Load(sim.now, rows, sentAt)
+					e.ledger.LoadRows(sim.now, rows, sentAt)
 				} else {
-					e.ledger.Learn(sim.now, rows, sentAt)
+					e.ledger.ApplyChanges(sim.now, rows, sentAt)
 				}
 				e.perform()
 				e.deliver(changePollInterval, func() { e.pollChanges(version, false) })
@@ -105,7 +105,7 @@
 		outcome := sim.store.write(write)
 		sim.schedule(storeOneWay, func() {
 			e.handle(incarnation, func() {
-				e.ledger.Written(sim.now, write, outcome)
+				e.ledger.HandleWriteResult(sim.now, write, outcome)
 				e.perform()
 			})
 		})
@@ -117,24 +117,24 @@
 func (e *entryProcess) applyToLedger(out *batch.Output) bool {
 	now := e.sim.now
 	for _, name := range out.Disowned {
-		e.ledger.GaveUp(now, name)
+		e.ledger.HandleOwnershipExpired(now, name)
 	}
 	for _, r := range out.Records {
-		e.ledger.Record(now, r)
+		e.ledger.SaveRecord(now, r)
 	}
-	for _, u := range out.Unowned {
-		acknowledged, void := e.ledger.Settle(now, u.End)
+	for _, u := range out.UnownedEnds {
+		acknowledged, void := e.ledger.ResolveEnd(now, u.End)
 		keys := []runs.Key{u.End.Key}
 		if acknowledged {
-			e.core.Settle(now, u.Link, keys, nil)
+			e.core.ResolveEnds(now, u.Link, keys, nil)
 		}
 		if void {
-			e.core.Settle(now, u.Link, nil, keys)
+			e.core.ResolveEnds(now, u.Link, nil, keys)
 		}
 	}
 	ledgerOut := e.ledger.Flush()
-	e.core.Confirm(e.ledger.OwnedUntil())
-	for _, n := range ledgerOut.Notes {
+	e.core.ConfirmOwnership(e.ledger.OwnedUntil())
+	for _, n := range ledgerOut.Decisions {
 		e.sim.logEvent("%s ledger %s %s epoch %d %s", e.address, n.Event, n.Job, n.Epoch, n.Reason)
 	}
 	for _, write := range ledgerOut.Writes {
@@ -143,24 +143,24 @@
 	for _, a := range ledgerOut.Answers {
 		e.answerDurable(a)
 	}
-	for _, name := range ledgerOut.Disowns {
+	for _, name := range ledgerOut.Lost {
 		e.core.Disown(now, name)
 	}
 	for _, name := range ledgerOut.Cancelled {
-		e.core.Cancelled(now, name)
+		e.core.CancelDurable(now, name)
 	}
-	for _, s := range ledgerOut.Stored {
-		e.core.Recorded(now, s.Job, s.Seq)
+	for _, s := range ledgerOut.StoredRecords {
+		e.core.RecordStored(now, s.Job, s.Seq)
 	}
-	for _, o := range ledgerOut.Owns {
-		e.core.Own(now, &batch.Durable{
+	for _, o := range ledgerOut.Acquired {
+		e.core.Own(now, &batch.DurableJob{
 			Job: o.Job, Queue: e.sim.jobs[o.Job].queue, Spec: o.Row.Spec, Steps: o.Row.Steps, Progress: o.Row.Progress, SafeAt: o.SafeAt,
 		})
 	}
 	for _, name := range ledgerOut.Ended {
 		e.sim.checker.checkReportedState(e, name)
 	}
-	return len(ledgerOut.Disowns)+len(ledgerOut.Cancelled)+len(ledgerOut.Stored)+len(ledgerOut.Owns) > 0
+	return len(ledgerOut.Lost)+len(ledgerOut.Cancelled)+len(ledgerOut.StoredRecords)+len(ledgerOut.Acquired) > 0
 }
 
 // updatePeers tells the ledger which other entries are reachable.
@@ -171,7 +171,7 @@
 			list = append(list, other.self)
 		}
 	}
-	e.ledger.Peers(e.sim.now, list)
+	e.ledger.RecordAlive(e.sim.now, list)
 	e.ledger.Tick(e.sim.now)
 }
 
@@ -184,7 +184,7 @@
 }
 
 // recordDurableEnd records the end of a durable job when it is stored.
-func (sim *simulation) recordDurableEnd(s ledger.Stored) {
+func (sim *simulation) recordDurableEnd(s ledger.StoredRow) {
 	j := sim.jobs[s.Job]
 	if j == nil || !s.Row.State.Ended() {
 		return
--- a/lab/emulator/trial.go
+++ b/lab/emulator/trial.go
@@ -61,8 +61,8 @@
 	eventLog                []string
 }
 
-// Play runs one trial. With logEvents the result holds the event log.
-func Play(d *Deployment, s *Scenario, p policy.Policy, seed uint64, logEvents bool) *TrialResult {
+// Simulate runs one trial. With logEvents the result holds the event log.
+func Simulate(d *Deployment, s *Scenario, p policy.Policy, seed uint64, logEvents bool) *TrialResult {
 	t := &trial{
 		sim: newSimulation(seed, d.config(p)), deployment: d, scenario: s, rand: rand.New(rand.NewPCG(seed, 11)),
 	}
@@ -347,5 +347,5 @@
 	}
 }
 
-// Story returns the event log.
-func (r *TrialResult) Story() []string { return r.eventLog }
+// EventLog returns the event log.
+func (r *TrialResult) EventLog() []string { return r.eventLog }
--- a/lab/emulator/trial_test.go
+++ b/lab/emulator/trial_test.go
@@ -24,10 +24,10 @@
 }
 
 // runExperiment simulates a scenario on the small deployment.
-func runExperiment(t *testing.T, scenario string, p policy.Policy, seeds int) *Outcome {
+func runExperiment(t *testing.T, scenario string, p policy.Policy, seeds int) *ExperimentResult {
 	t.Helper()
 	d, s := loadPackaged(t, "small", scenario)
-	e := Experiment{Deployment: d, Scenario: s, Policy: p, First: 1, Seeds: seeds, Jobs: 2}
+	e := Experiment{Deployment: d, Scenario: s, Policy: p, FirstSeed: 1, Seeds: seeds, Parallelism: 2}
 	o, err := e.Run(context.Background())
 	is.New(t).NoErr(err)
 	return o
@@ -41,7 +41,7 @@
 }
 
 // unserved returns the share of jobs without a useful answer, over all seeds.
-func (o *Outcome) unserved() float64 {
+func (o *ExperimentResult) unserved() float64 {
 	var c Count
 	for i := range o.Trials {
 		c.addCount(&o.Trials[i].Count)
@@ -53,12 +53,12 @@
 func TestSameSeedGivesSameResult(t *testing.T) {
 	is := is.New(t)
 	d, s := loadPackaged(t, "small", "everything-lost")
-	first, err := json.Marshal(Play(d, s, policy.Policy{}, 3, false).Summarize())
+	first, err := json.Marshal(Simulate(d, s, policy.Policy{}, 3, false).Summarize())
 	is.NoErr(err)
-	second, err := json.Marshal(Play(d, s, policy.Policy{}, 3, false).Summarize())
+	second, err := json.Marshal(Simulate(d, s, policy.Policy{}, 3, false).Summarize())
 	is.NoErr(err)
 	is.Equal(string(first), string(second))
-	other, err := json.Marshal(Play(d, s, policy.Policy{}, 4, false).Summarize())
+	other, err := json.Marshal(Simulate(d, s, policy.Policy{}, 4, false).Summarize())
 	is.NoErr(err)
 	is.True(string(first) != string(other))
 }
@@ -76,7 +76,7 @@
 func checkTrial(t *testing.T, deployment, scenario string) {
 	t.Helper()
 	d, s := loadPackaged(t, deployment, scenario)
-	summary := Play(d, s, policy.Policy{}, 1, false).Summarize()
+	summary := Simulate(d, s, policy.Policy{}, 1, false).Summarize()
 	is := is.New(t)
 	is.Equal(len(summary.Violations), 0)
 	is.Equal(summary.InTime+summary.Late+summary.Refused+summary.Failed, summary.Jobs) // each job is counted once
@@ -109,7 +109,7 @@
 // urgent kind.
 func TestYieldingServesUrgentJobs(t *testing.T) {
 	is := is.New(t)
-	lost := func(o *Outcome) (n int) {
+	lost := func(o *ExperimentResult) (n int) {
 		for i := range o.Trials {
 			n += o.Trials[i].Kinds[0].Refused + o.Trials[i].Kinds[0].Failed
 		}
@@ -159,7 +159,7 @@
 
 func TestComparisonPairsSeeds(t *testing.T) {
 	is := is.New(t)
-	c := Compare(&Outcome{Trials: []Summary{{Score: 0.5}, {Score: 0.7}}}, &Outcome{Trials: []Summary{{Score: 0.6}, {Score: 0.6}}})
+	c := Compare(&ExperimentResult{Trials: []Summary{{Score: 0.5}, {Score: 0.7}}}, &ExperimentResult{Trials: []Summary{{Score: 0.6}, {Score: 0.6}}})
 	is.True(c.Difference < 1e-9 && c.Difference > -1e-9)
 	is.Equal(c.Better, 1)
 	is.True(c.StdError > 0.09 && c.StdError < 0.11)
--- a/lab/emulator/worker.go
+++ b/lab/emulator/worker.go
@@ -13,7 +13,7 @@
 // workerRun is a run at a simulated worker.
 type workerRun struct {
 	run  uint32
-	need room.Room
+	need room.Resources
 	// work is the total work, doneBefore the work done until speedSince, both as durations at full
 	// speed. speed is the share of full speed since then.
 	work, doneBefore time.Duration
@@ -48,7 +48,7 @@
 	number      int // index in simulation.workers
 	id          string
 	incarnation int
-	capacity    room.Room
+	capacity    room.Resources
 	// previousCapacities are the capacities before the present one.
 	previousCapacities []previousCapacity
 	// announcements counts the announcements of the incarnation.
@@ -85,7 +85,7 @@
 
 // pendingPoll is a poll that waits for an end.
 type pendingPoll struct {
-	request  runner.Look
+	request  runner.Poll
 	respond  func(runner.Answer, runner.Listing)
 	deadline time.Time
 }
@@ -119,7 +119,7 @@
 
 // previousCapacity is the capacity that a worker had until a time.
 type previousCapacity struct {
-	capacity room.Room
+	capacity room.Resources
 	until    time.Time
 }
 
@@ -132,7 +132,7 @@
 
 // maxRecentCapacity returns the largest capacity that the worker had within a time. Its agent
 // learns of a change with the next announcement only.
-func (w *worker) maxRecentCapacity(within time.Duration) room.Room {
+func (w *worker) maxRecentCapacity(within time.Duration) room.Resources {
 	largest := w.capacity
 	for _, previous := range w.previousCapacities {
 		if w.sim.now.Sub(previous.until) <= within && previous.capacity.CPU > largest.CPU {
@@ -169,7 +169,7 @@
 	w.down = true
 	for task, r := range w.running.All() {
 		w.sim.checker.crashesDuring[task]++
-		w.sim.stats.addRun(w, r, runs.Gone)
+		w.sim.stats.addRun(w, r, runs.OutcomeGone)
 		w.sim.checker.runEnded(task, w)
 	}
 }
@@ -196,13 +196,13 @@
 	for task, r := range w.running.All() {
 		switch {
 		case !r.stopsAt.IsZero() && !w.sim.now.Before(r.stopsAt):
-			w.end(task, r, runs.Stopped)
+			w.end(task, r, runs.OutcomeStopped)
 		case w.clock() > w.leaseUntil:
-			w.end(task, r, runs.Stopped)
+			w.end(task, r, runs.OutcomeStopped)
 		case r.workDone(w.sim.now) >= r.work:
-			outcome := runs.Done
+			outcome := runs.OutcomeDone
 			if r.fails {
-				outcome = runs.Failed
+				outcome = runs.OutcomeFailed
 			}
 			w.end(task, r, outcome)
 		}
@@ -210,35 +210,35 @@
 	w.answerPoll()
 }
 
-func (w *worker) end(task string, r *workerRun, outcome runs.How) {
+func (w *worker) end(task string, r *workerRun, outcome runs.Outcome) {
 	w.running.Delete(task)
 	w.sim.stats.addRun(w, r, outcome)
 	w.highestRun[task] = max(w.highestRun[task], r.run)
 	w.endCount++
-	w.heldEnds = append(w.heldEnds, runner.Ended{Number: w.endCount, Key: runs.Key{Task: task, Run: r.run}, How: outcome})
+	w.heldEnds = append(w.heldEnds, runner.Ended{Number: w.endCount, Key: runs.Key{Task: task, Run: r.run}, Outcome: outcome})
 	w.sim.logEvent("worker %s ends %s/%d %s", w.id, task, r.run, outcome)
-	if outcome == runs.Failed {
+	if outcome == runs.OutcomeFailed {
 		w.sim.checker.failedRuns[task]++
 	}
-	if outcome == runs.Done {
+	if outcome == runs.OutcomeDone {
 		w.sim.checker.taskDone(w, runs.Key{Task: task, Run: r.run}, w.endCount)
 	}
 	w.sim.checker.runEnded(task, w)
 }
 
 // order carries an order out and returns the worker's answer.
-func (w *worker) order(o runner.Order, need room.Room) runner.Answer {
+func (w *worker) order(o runner.Order, need room.Resources) runner.Answer {
 	if w.down && !w.partitioned && w.refusesConnections {
-		return runner.Answer{Verdict: runner.NotListening}
+		return runner.Answer{Status: runner.NotListening}
 	}
 	if w.down || w.partitioned {
-		return runner.Answer{Verdict: runner.NoAnswer}
+		return runner.Answer{Status: runner.NoAnswer}
 	}
 	if o.Worker != w.id {
-		return runner.Answer{Verdict: runner.WrongIncarnation, Clock: w.clock()}
+		return runner.Answer{Status: runner.WrongIncarnation, Clock: w.clock()}
 	}
 	if o.Token < w.token {
-		return runner.Answer{Verdict: runner.RefusedFence, Clock: w.clock()}
+		return runner.Answer{Status: runner.RefusedFence, Clock: w.clock()}
 	}
 	w.token = o.Token
 	verdict := runner.Accepted
@@ -247,7 +247,7 @@
 	} else {
 		verdict = w.start(o, need)
 	}
-	return runner.Answer{Verdict: verdict, Clock: w.clock()}
+	return runner.Answer{Status: verdict, Clock: w.clock()}
 }
 
 // stop stops a run within 50 ms and prevents later starts of the run.
@@ -259,12 +259,12 @@
 }
 
 // start starts a run, unless it runs already, is outdated, or its deadline has passed.
-func (w *worker) start(o runner.Order, need room.Room) runner.Verdict {
+func (w *worker) start(o runner.Order, need room.Resources) runner.Status {
 	if r := w.running.Get(o.Key.Task); r != nil && r.run == o.Key.Run {
 		return runner.Accepted
 	}
 	if o.Key.Run <= w.highestRun[o.Key.Task] {
-		return runner.RefusedOld
+		return runner.RefusedOldRun
 	}
 	if o.Deadline <= w.clock() {
 		return runner.RefusedLate
@@ -319,16 +319,16 @@
 
 // poll handles a poll of the agent. respond is called at once or when a run ends, at the latest
 // after the poll's wait time.
-func (w *worker) poll(request runner.Look, respond func(runner.Answer, runner.Listing)) {
+func (w *worker) poll(request runner.Poll, respond func(runner.Answer, runner.Listing)) {
 	if w.down || w.partitioned {
 		return
 	}
 	if request.Worker != w.id {
-		respond(runner.Answer{Verdict: runner.WrongIncarnation, Clock: w.clock()}, runner.Listing{})
+		respond(runner.Answer{Status: runner.WrongIncarnation, Clock: w.clock()}, runner.Listing{})
 		return
 	}
 	if request.Token < w.token {
-		respond(runner.Answer{Verdict: runner.RefusedFence, Clock: w.clock()}, runner.Listing{})
+		respond(runner.Answer{Status: runner.RefusedFence, Clock: w.clock()}, runner.Listing{})
 		return
 	}
 	w.token = request.Token
@@ -362,7 +362,7 @@
 		percent := int(100 * r.workDone(w.sim.now) / max(r.work, 1))
 		listing.Running = append(listing.Running, runner.Running{Key: runs.Key{Task: task, Run: r.run}, Percent: min(percent, 99)})
 	}
-	listing.Cut = len(w.heldEnds) >= maxListedEnds
+	listing.Truncated = len(w.heldEnds) >= maxListedEnds
 	listing.Ended = append(listing.Ended, w.heldEnds[:min(len(w.heldEnds), maxListedEnds)]...)
-	p.respond(runner.Answer{Verdict: runner.Accepted, Clock: w.clock(), Born: w.startedAtMillis}, listing)
+	p.respond(runner.Answer{Status: runner.Accepted, Clock: w.clock(), Born: w.startedAtMillis}, listing)
 }
--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -70,16 +70,16 @@
 	Key string `json:"key"`
 }
 
-// Shape is a pattern by which the arrival rate changes over time.
-type Shape string
+// Pattern is a pattern by which the arrival rate changes over time.
+type Pattern string
 
 // Patterns of arrivals: a constant rate; a constant rate with one burst; the rate of a day from night to
 // night; and a low rate with a step to a high one.
 const (
-	Steady  Shape = "steady"
-	Bursty  Shape = "bursty"
-	Diurnal Shape = "diurnal"
-	Step    Shape = "step"
+	Steady  Pattern = "steady"
+	Bursty  Pattern = "bursty"
+	Diurnal Pattern = "diurnal"
+	Step    Pattern = "step"
 )
 
 // Parameters of the patterns.
@@ -97,7 +97,7 @@
 
 // loadAt returns the load at a time of a run as a part of capacity. baseLoad is that outside bursts and
 // steps, and at the peak of a day.
-func (s Shape) loadAt(at, duration time.Duration, baseLoad float64) float64 {
+func (s Pattern) loadAt(at, duration time.Duration, baseLoad float64) float64 {
 	changeAt := time.Duration(burstStart * float64(duration))
 	switch {
 	case s == Bursty && at >= changeAt && at < changeAt+burstDuration:
@@ -136,7 +136,7 @@
 // Plan draws the arrivals of a run, a Poisson process with the rate of the pattern. The loop is open:
 // all arrivals are fixed before the run starts, so that slow answers do not delay them. slots is the
 // capacity of the deployment in tasks at once.
-func Plan(mix Mix, pattern Shape, baseLoad float64, duration time.Duration, slots int, seed uint64) []Arrival {
+func Plan(mix Mix, pattern Pattern, baseLoad float64, duration time.Duration, slots int, seed uint64) []Arrival {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	workPerRequest := meanWorkSeconds(mix, seed)
 	var plan []Arrival
@@ -182,8 +182,8 @@
 	return total / draws
 }
 
-// Replay reads arrivals from a JSON file.
-func Replay(path string) ([]Arrival, error) {
+// ReadArrivals reads arrivals from a JSON file.
+func ReadArrivals(path string) ([]Arrival, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, eris.Wrap(err, "read arrivals")
--- a/lab/load/faults.go
+++ b/lab/load/faults.go
@@ -62,13 +62,13 @@
 func (f Fault) apply(c *cluster.Cluster) {
 	switch f.Kind {
 	case FaultSlow:
-		f.applyToBackend(c, backendserver.Faults{Slow: f.Factor})
+		f.applyToBackend(c, backendserver.Faults{SlowFactor: f.Factor})
 	case FaultFailAll:
 		f.applyToBackend(c, backendserver.Faults{FailAll: true})
 	case FaultKill:
-		c.KillNode(f.Worker)
+		c.KillWorker(f.Worker)
 	case FaultLeave:
-		go c.StopNode(f.Worker)
+		go c.StopWorker(f.Worker)
 	case FaultTableDown:
 		f.applyToTable(c, func(t *platformstandin.Faults) { t.Down = true })
 	case FaultTableLoss:
@@ -83,7 +83,7 @@
 // applyToBackend sets the faults of a worker's backend server. It does nothing if the worker does not
 // run.
 func (f Fault) applyToBackend(c *cluster.Cluster, faults backendserver.Faults) {
-	n := c.Node(f.Worker)
+	n := c.RunningWorker(f.Worker)
 	if n == nil {
 		return
 	}
--- a/lab/load/report.go
+++ b/lab/load/report.go
@@ -116,7 +116,7 @@
 		report.Policy = "finish"
 	}
 	r.addRatios(report)
-	report.CentralQueue = CentralQueue(r.options.Mix, r.options.Plan, r.options.Shape.Agents*r.options.Shape.Slots)
+	report.CentralQueue = CentralQueue(r.options.Mix, r.options.Plan, r.options.Spec.Agents*r.options.Spec.Slots)
 	r.countOutcomes(report)
 	r.countMessages(report)
 	r.addWorkerUsage(report)
@@ -180,7 +180,7 @@
 		report.FalseNotRun += boolToInt(res.falseNotRun)
 		report.CutInShutdown += boolToInt(res.unanswered)
 	}
-	report.StartsTwice = len(r.cluster.Journal.Twice(r.atMostOnceTasks()))
+	report.StartsTwice = len(r.cluster.Journal.StartedTwice(r.atMostOnceTasks()))
 }
 
 // atMostOnceTasks returns a function that reports whether a task of the journal must not be started
@@ -237,7 +237,7 @@
 func (r *run) addWorkerUsage(report *Report) {
 	report.PeakByWorker = make(map[string]int)
 	report.BusyByWorker = make(map[string]float64)
-	for _, n := range r.cluster.Nodes() {
+	for _, n := range r.cluster.RunningWorkers() {
 		peak, busy := n.Server.Usage()
 		report.PeakByWorker[n.Worker] = peak
 		report.BusyByWorker[n.Worker] = busy.Seconds()
@@ -263,7 +263,7 @@
 		}
 	}
 	for i := range workSeconds {
-		workSeconds[i] = math.Ceil(workSeconds[i] / float64(r.options.Shape.Slots))
+		workSeconds[i] = math.Ceil(workSeconds[i] / float64(r.options.Spec.Slots))
 	}
 	return workSeconds
 }
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -26,8 +26,8 @@
 type Options struct {
 	// Mix has the kinds of requests that Plan and Flood refer to.
 	Mix Mix
-	// Shape describes the deployment; its Policy and Seed are replaced by those below.
-	Shape cluster.Shape
+	// Spec describes the deployment; its Policy and Seed are replaced by those below.
+	Spec cluster.Spec
 	// Plan are the requests to send.
 	Plan   []Arrival
 	Faults []Fault
@@ -54,9 +54,9 @@
 // Run starts a deployment, sends the plan to it, and returns the report. If ctx is canceled, no more
 // requests are sent, and the report covers those that were.
 func Run(ctx context.Context, o Options) (*Report, error) {
-	o.Shape.Policy = o.Policy
-	o.Shape.Seed = o.Seed
-	c, err := cluster.Start(o.Shape)
+	o.Spec.Policy = o.Policy
+	o.Spec.Seed = o.Seed
+	c, err := cluster.Start(o.Spec)
 	if err != nil {
 		return nil, err
 	}
@@ -244,7 +244,7 @@
 func (r *run) recordResult(kind Kind, a *Arrival, results []json.RawMessage, err error, payloads []json.RawMessage, flood bool) {
 	responseTime := time.Since(r.startedAt) - a.At
 	res := result{class: kind.Class, plannedAt: a.At, tasks: len(a.RunMs), fromFlood: flood, atMostOnce: kind.AtMostOnce}
-	res.ratio = responseTime.Seconds() * 1000 / idealResponseMs(a.RunMs, r.options.Shape.Agents*r.options.Shape.Slots)
+	res.ratio = responseTime.Seconds() * 1000 / idealResponseMs(a.RunMs, r.options.Spec.Agents*r.options.Spec.Slots)
 	var failure *caller.Failure
 	switch {
 	case err == nil:
@@ -279,7 +279,7 @@
 	}
 	for i := range results {
 		var decoded backendserver.Result
-		if json.Unmarshal(results[i], &decoded) != nil || decoded.Sum != backendserver.Checksum(payloads[i]) {
+		if json.Unmarshal(results[i], &decoded) != nil || decoded.Checksum != backendserver.Checksum(payloads[i]) {
 			return false
 		}
 	}
@@ -290,7 +290,7 @@
 func (r *run) sampleAwake(ctx context.Context) {
 	for {
 		r.mu.Lock()
-		r.awakeBySecond = append(r.awakeBySecond, float64(len(r.cluster.Nodes())))
+		r.awakeBySecond = append(r.awakeBySecond, float64(len(r.cluster.RunningWorkers())))
 		r.mu.Unlock()
 		select {
 		case <-time.After(time.Second):
--- a/lab/platformstandin/http.go
+++ b/lab/platformstandin/http.go
@@ -17,13 +17,13 @@
 // Server offers the fake services over the HTTP protocol of package tableclient.
 type Server struct {
 	table   table.Table
-	objects table.Objects
+	objects table.ObjectStore
 	workers table.Workers
 	http    *fasthttp.Server
 }
 
 // NewServer returns a server of the three services. w may be nil if no client uses the power control.
-func NewServer(t table.Table, o table.Objects, w table.Workers) *Server {
+func NewServer(t table.Table, o table.ObjectStore, w table.Workers) *Server {
 	s := &Server{table: t, objects: o, workers: w}
 	s.http = &fasthttp.Server{Handler: s.handle, Name: "platform-standin", IdleTimeout: time.Minute}
 	return s
--- a/lab/platformstandin/objects.go
+++ b/lab/platformstandin/objects.go
@@ -24,7 +24,7 @@
 	o.down = down
 }
 
-// Put implements table.Objects.
+// Put implements table.ObjectStore.
 func (o *Objects) Put(_ context.Context, name string, data []byte) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Get implements table.Objects.
+// Get implements table.ObjectStore.
 func (o *Objects) Get(_ context.Context, name string) ([]byte, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -49,7 +49,7 @@
 	return data, nil
 }
 
-// Delete implements table.Objects.
+// Delete implements table.ObjectStore.
 func (o *Objects) Delete(_ context.Context, name string) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/lab/platformstandin/table.go
+++ b/lab/platformstandin/table.go
@@ -95,33 +95,33 @@
 }
 
 // Commit implements table.Table.
-func (t *Table) Commit(ctx context.Context, ops []table.Op) (table.Commit, error) {
+func (t *Table) Commit(ctx context.Context, ops []table.Op) (table.CommitResult, error) {
 	if !t.writes.Allow() {
 		t.countThrottled()
-		return table.Commit{}, table.ErrThrottled
+		return table.CommitResult{}, table.ErrThrottled
 	}
 	latency, down, dropped, lost := t.drawFaults(false)
 	if err := wait(ctx, latency); err != nil {
-		return table.Commit{}, table.ErrNotSent
+		return table.CommitResult{}, table.ErrNotSent
 	}
 	if down || dropped {
-		return table.Commit{}, errConnectionLost
+		return table.CommitResult{}, errConnectionLost
 	}
 	result := t.apply(ops)
 	if lost {
-		return table.Commit{}, errConnectionLost
+		return table.CommitResult{}, errConnectionLost
 	}
 	return result, nil
 }
 
 // Apply commits a transaction immediately, without faults, latency or rate limit.
-func (t *Table) Apply(ops []table.Op) table.Commit { return t.apply(ops) }
+func (t *Table) Apply(ops []table.Op) table.CommitResult { return t.apply(ops) }
 
-func (t *Table) apply(ops []table.Op) table.Commit {
+func (t *Table) apply(ops []table.Op) table.CommitResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.counts.Writes++
-	var result table.Commit
+	var result table.CommitResult
 	for i, op := range ops {
 		if c, holds := t.checkVersion(i, op); !holds {
 			result.Conflicts = append(result.Conflicts, c)
@@ -138,7 +138,7 @@
 		}
 		t.rows[op.Key] = table.Row{Key: op.Key, Value: op.Value, Version: t.version}
 	}
-	return table.Commit{Applied: true, Version: t.version}
+	return table.CommitResult{Applied: true, Version: t.version}
 }
 
 // checkVersion returns whether the condition of an operation holds, and the conflict if not. i is the
@@ -146,7 +146,7 @@
 func (t *Table) checkVersion(i int, op table.Op) (table.Conflict, bool) {
 	row, exists := t.rows[op.Key]
 	switch {
-	case op.IfVersion == table.Any, !exists && op.IfVersion == 0, exists && row.Version == op.IfVersion:
+	case op.IfVersion == table.AnyVersion, !exists && op.IfVersion == 0, exists && row.Version == op.IfVersion:
 		return table.Conflict{}, true
 	case !exists:
 		return table.Conflict{Op: i}, false
--- a/lab/platformstandin/workers.go
+++ b/lab/platformstandin/workers.go
@@ -43,7 +43,7 @@
 	list := make([]table.Worker, 0, len(w.workers))
 	for _, p := range w.workers {
 		worker := p.worker
-		worker.Since = time.Since(p.since)
+		worker.SincePowerChange = time.Since(p.since)
 		list = append(list, worker)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
@@ -58,8 +58,8 @@
 	if p == nil {
 		return table.ErrNotFound
 	}
-	if p.worker.Power == table.Asleep {
-		w.setPower(p, table.Waking)
+	if p.worker.Power == table.PowerAsleep {
+		w.setPower(p, table.PowerWaking)
 		time.AfterFunc(w.WakeTime, func() { w.finishWaking(id) })
 	}
 	return nil
@@ -68,7 +68,7 @@
 // finishWaking makes a worker awake whose wake time is over.
 func (w *Workers) finishWaking(id string) {
 	w.mu.Lock()
-	w.setPower(w.workers[id], table.Awake)
+	w.setPower(w.workers[id], table.PowerAwake)
 	w.mu.Unlock()
 	if w.OnAwake != nil {
 		w.OnAwake(id)
@@ -83,9 +83,9 @@
 		w.mu.Unlock()
 		return table.ErrNotFound
 	}
-	changed := p.worker.Power == table.Awake
+	changed := p.worker.Power == table.PowerAwake
 	if changed {
-		w.setPower(p, table.Asleep)
+		w.setPower(p, table.PowerAsleep)
 	}
 	w.mu.Unlock()
 	if changed && w.OnAsleep != nil {
@@ -97,7 +97,7 @@
 // setPower changes the power state of p, and adds the time in its previous state to the awake time
 // unless it was asleep. w.mu must be held.
 func (w *Workers) setPower(p *workerPower, state table.PowerState) {
-	if p.worker.Power != table.Asleep {
+	if p.worker.Power != table.PowerAsleep {
 		w.endedAwakeSeconds += time.Since(p.since).Seconds()
 	}
 	p.worker.Power = state
@@ -110,7 +110,7 @@
 	defer w.mu.Unlock()
 	total := w.endedAwakeSeconds
 	for _, p := range w.workers {
-		if p.worker.Power != table.Asleep {
+		if p.worker.Power != table.PowerAsleep {
 			total += time.Since(p.since).Seconds()
 		}
 	}
--- a/service/agent/agent.go
+++ b/service/agent/agent.go
@@ -98,7 +98,7 @@
 		Slots: s.Slots, Queue: s.Queue,
 	}
 	core := agentcore.New(agentcore.Settings{
-		Info: info, FenceMemory: fenceMemory, ResultRetention: resultRetention, ResultBytes: s.ResultBytes,
+		Info: info, TombstoneRetention: fenceMemory, ResultRetention: resultRetention, MaxResultBytes: s.ResultBytes,
 	})
 	if deps.Metrics == nil {
 		deps.Metrics = metrics.NewRegistry()
@@ -166,7 +166,7 @@
 func (a *Agent) isIdle() bool {
 	idle := make(chan bool, 1)
 	a.post(func(time.Time) agentcore.Output {
-		idle <- a.core.Idle()
+		idle <- a.core.IsIdle()
 		return agentcore.Output{}
 	})
 	select {
@@ -209,7 +209,7 @@
 			l.enqueue(send.Msg)
 		}
 	}
-	for _, e := range out.Executes {
+	for _, e := range out.Executions {
 		go a.execute(e)
 	}
 	for _, id := range out.Stops {
@@ -226,7 +226,7 @@
 	a.finishedCounter.Inc(1)
 	a.log.Debug().Str("submission", e.ID.Submission).Uint32("task", e.ID.Index).Uint32("attempt", e.ID.Attempt).
 		Stringer("kind", done.Kind).Dur("run", done.RunTime).Msg("agent: task ended")
-	a.post(func(now time.Time) agentcore.Output { return a.core.Finished(now, e.ID, done) })
+	a.post(func(now time.Time) agentcore.Output { return a.core.ExecutionFinished(now, e.ID, done) })
 }
 
 // checkLinks sends the load on links on which nothing was sent for a heartbeat interval, and closes
--- a/service/batch/drains.go
+++ b/service/batch/drains.go
@@ -16,27 +16,27 @@
 	state drains.State
 }
 
-func (d *drainsView) view(now time.Time) runs.Drains {
+func (d *drainsView) view(now time.Time) runs.DrainView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.state.View(now)
 }
 
-func (d *drainsView) update(now time.Time, v runs.Drains) (changed bool) {
+func (d *drainsView) update(now time.Time, v runs.DrainView) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.state.Learn(now, v)
+	return d.state.Update(now, v)
 }
 
 // updateDrains applies a view of the drained data centres from the store or another entry. If it
 // changes which ones are drained, the core passes it on to agents and the exchanges to other
 // entries.
-func (e *Entry) updateDrains(v runs.Drains, from string) {
+func (e *Entry) updateDrains(v runs.DrainView, from string) {
 	if !e.drains.update(boottime.Now(), v) {
 		return
 	}
 	e.log.Info().Strs("drained", v.DataCentres).Uint64("version", v.Version).Dur("age", v.Age).Str("from", from).
 		Msg("entry: drained data centres in force")
-	e.post(func(c *core.Core, now time.Time) { c.LearnDrains(now, e.drains.view(now)) })
+	e.post(func(c *core.Core, now time.Time) { c.UpdateDrains(now, e.drains.view(now)) })
 	e.peers.wakeExchanges()
 }
--- a/service/batch/drains_test.go
+++ b/service/batch/drains_test.go
@@ -17,10 +17,10 @@
 	b, storeB := startEntry(t, a.self.Address)
 	c, _ := startEntry(t, a.self.Address)
 	holds := func(e *Entry, version uint64) bool { return e.drains.view(boottime.Now()).Version == version }
-	storeA.drains <- runs.Drains{Version: 5, DataCentres: []string{"x"}}
+	storeA.drains <- runs.DrainView{Version: 5, DataCentres: []string{"x"}}
 	waitFor(t, "the drain did not reach all", func() bool { return holds(b, 5) && holds(c, 5) })
-	storeB.drains <- runs.Drains{Version: 4}
-	storeB.drains <- runs.Drains{Version: 9, DataCentres: []string{"x", "y"}}
+	storeB.drains <- runs.DrainView{Version: 4}
+	storeB.drains <- runs.DrainView{Version: 9, DataCentres: []string{"x", "y"}}
 	waitFor(t, "the second drain did not reach all", func() bool { return holds(a, 9) && holds(c, 9) })
 	is.Equal(c.drains.view(boottime.Now()).DataCentres, []string{"x", "y"})
 }
--- a/service/batch/durable.go
+++ b/service/batch/durable.go
@@ -18,7 +18,7 @@
 
 // Changes are rows of durable jobs as read from the store.
 type Changes struct {
-	Rows []ledger.Stored
+	Rows []ledger.StoredRow
 	// Next is the position from which the next poll continues.
 	Next uint64
 	// More is set if there are further changes to read at once.
@@ -34,13 +34,13 @@
 	Jobs(ctx context.Context) (Changes, error)
 	// JobChanges waits for changes after a position, at most for wait.
 	JobChanges(ctx context.Context, after uint64, wait time.Duration) (Changes, error)
-	// JobParts returns the number of partitions; each takes writes independently. JobPart returns
+	// JobPartitions returns the number of partitions; each takes writes independently. JobPart returns
 	// the partition of a job, from 0.
-	JobParts() int
-	JobPart(job string) int
+	JobPartitions() int
+	JobPartition(job string) int
 	// WriteJobs carries out writes to one partition in one transaction, all or none. It returns an
 	// outcome for each, or an error if it is unknown whether they were carried out.
-	WriteJobs(ctx context.Context, writes []ledger.Write) ([]ledger.Outcome, error)
+	WriteJobs(ctx context.Context, writes []ledger.Write) ([]ledger.WriteResult, error)
 }
 
 // Times of reading the changes.
@@ -88,7 +88,7 @@
 	d := &durableJobs{entry: e, ledger: ledger.New(s, boottime.Now()), pendingRequests: make(map[ledger.RequestID]chan errkind.Kind)}
 	d.endWaiters = make(map[string][]chan<- struct{})
 	d.limiter, d.totalRate = rate.NewLimiter(rate.Limit(writesPerSecond), transactionBurst), writesPerSecond
-	for range e.deps.Store.JobParts() {
+	for range e.deps.Store.JobPartitions() {
 		d.writers = append(d.writers, newPartitionWriter(e, d.limiter))
 	}
 	return d
@@ -141,10 +141,10 @@
 		after, loaded = changes.Next, true
 		e.post(func(_ *core.Core, now time.Time) {
 			if first {
-				d.ledger.Load(now, changes.Rows, sentAt)
+				d.ledger.LoadRows(now, changes.Rows, sentAt)
 				return
 			}
-			d.ledger.Learn(now, changes.Rows, sentAt)
+			d.ledger.ApplyChanges(now, changes.Rows, sentAt)
 		})
 		if len(changes.Rows) > 0 && !changes.More {
 			sleep(ctx, pollPause)
@@ -180,25 +180,25 @@
 // loop.
 func (d *durableJobs) applyCoreOutput(now time.Time, out *core.Output) {
 	for _, name := range out.Disowned {
-		d.ledger.GaveUp(now, name)
+		d.ledger.HandleOwnershipExpired(now, name)
 	}
 	for _, r := range out.Records {
-		d.ledger.Record(now, r)
+		d.ledger.SaveRecord(now, r)
 	}
-	for _, u := range out.Unowned {
+	for _, u := range out.UnownedEnds {
 		d.resolveUnowned(now, u)
 	}
 }
 
 // resolveUnowned answers an agent's question about the end of a run whose job the core does not run.
-func (d *durableJobs) resolveUnowned(now time.Time, u core.Unowned) {
-	noted, void := d.ledger.Settle(now, u.End)
+func (d *durableJobs) resolveUnowned(now time.Time, u core.UnownedEnd) {
+	noted, void := d.ledger.ResolveEnd(now, u.End)
 	keys := []runs.Key{u.End.Key}
 	switch {
 	case noted:
-		d.entry.core.Settle(now, u.Link, keys, nil)
+		d.entry.core.ResolveEnds(now, u.Link, keys, nil)
 	case void:
-		d.entry.core.Settle(now, u.Link, nil, keys)
+		d.entry.core.ResolveEnds(now, u.Link, nil, keys)
 	case d.empty.Load():
 		// The agent keeps the end until a poll that is sent from now on shows that there is no such
 		// job.
@@ -235,7 +235,7 @@
 
 func (d *durableJobs) isFresh() bool {
 	fresh := make(chan bool, 1)
-	d.entry.post(func(_ *core.Core, now time.Time) { fresh <- d.ledger.Fresh(now, maxStaleness) })
+	d.entry.post(func(_ *core.Core, now time.Time) { fresh <- d.ledger.IsFresh(now, maxStaleness) })
 	select {
 	case f := <-fresh:
 		return f
@@ -247,7 +247,7 @@
 // tick lets the ledger handle the passing of time, and divides the transaction rate by the number
 // of live entries.
 func (d *durableJobs) tick(now time.Time) {
-	d.ledger.Peers(now, d.entry.peers.recentlyHeard())
+	d.ledger.RecordAlive(now, d.entry.peers.recentlyHeard())
 	d.ledger.Tick(now)
 	d.limiter.SetLimit(rate.Limit(d.totalRate / float64(d.entry.peers.aliveCount())))
 }
@@ -260,9 +260,9 @@
 func (d *durableJobs) handleLedgerOutput(now time.Time) bool {
 	out := d.ledger.Flush()
 	e := d.entry
-	e.core.Confirm(d.ledger.OwnedUntil())
+	e.core.ConfirmOwnership(d.ledger.OwnedUntil())
 	for _, w := range out.Writes {
-		d.writers[e.deps.Store.JobPart(w.Job)].enqueue(w)
+		d.writers[e.deps.Store.JobPartition(w.Job)].enqueue(w)
 	}
 	for _, a := range out.Answers {
 		if reply := d.pendingRequests[a.Request]; reply != nil {
@@ -270,17 +270,17 @@
 			reply <- a.Kind
 		}
 	}
-	for _, name := range out.Disowns {
+	for _, name := range out.Lost {
 		e.core.Disown(now, name)
 	}
 	for _, name := range out.Cancelled {
-		e.core.Cancelled(now, name)
+		e.core.CancelDurable(now, name)
 	}
-	for _, s := range out.Stored {
-		e.core.Recorded(now, s.Job, s.Seq)
+	for _, s := range out.StoredRecords {
+		e.core.RecordStored(now, s.Job, s.Seq)
 	}
-	for i := range out.Owns {
-		d.startJob(now, &out.Owns[i])
+	for i := range out.Acquired {
+		d.startJob(now, &out.Acquired[i])
 	}
 	for _, name := range out.Ended {
 		for _, w := range d.endWaiters[name] {
@@ -288,31 +288,31 @@
 		}
 		delete(d.endWaiters, name)
 	}
-	d.logDecisions(now, out.Notes)
-	d.unconfirmed.Store(d.ledger.Unconfirmed())
-	d.empty.Store(d.ledger.Empty())
-	return len(out.Disowns)+len(out.Cancelled)+len(out.Stored)+len(out.Owns) > 0
+	d.logDecisions(now, out.Decisions)
+	d.unconfirmed.Store(d.ledger.HasUnconfirmed())
+	d.empty.Store(d.ledger.IsEmpty())
+	return len(out.Lost)+len(out.Cancelled)+len(out.StoredRecords)+len(out.Acquired) > 0
 }
 
 // startJob has the core run a job. A job whose queue is not in the configuration is not started.
-func (d *durableJobs) startJob(now time.Time, o *ledger.Own) {
+func (d *durableJobs) startJob(now time.Time, o *ledger.Acquisition) {
 	e := d.entry
 	config := e.Catalog()
-	if config == nil || config.Named(o.Row.Queue) == nil {
+	if config == nil || config.QueueByName(o.Row.Queue) == nil {
 		e.log.Warn().Str("job", o.Job).Str("queue", o.Row.Queue).Msg("entry: the queue of a durable job is not configured")
 		return
 	}
-	e.core.Own(now, &core.Durable{
-		Job: o.Job, Queue: config.Named(o.Row.Queue), Version: config.Version, Spec: o.Row.Spec, Steps: o.Row.Steps,
+	e.core.Own(now, &core.DurableJob{
+		Job: o.Job, Queue: config.QueueByName(o.Row.Queue), Version: config.Version, Spec: o.Row.Spec, Steps: o.Row.Steps,
 		Progress: o.Row.Progress, SafeAt: o.SafeAt,
 	})
 }
 
-func (d *durableJobs) logDecisions(now time.Time, notes []ledger.Note) {
+func (d *durableJobs) logDecisions(now time.Time, notes []ledger.Decision) {
 	e := d.entry
 	for i := range notes {
 		n := &notes[i]
-		telemetry.Count("durable."+metricName(n.Event), e.deps.Metrics)
+		telemetry.IncCounter("durable."+metricName(n.Event), e.deps.Metrics)
 		ok, leftOut := e.logBudget.Allow("durable "+n.Event, now)
 		if !ok {
 			continue
@@ -322,13 +322,13 @@
 			line.Int("left_out", leftOut)
 		}
 		line.Str("job", n.Job).Str("queue", n.Queue).Uint64("row", n.Version).Uint64("epoch", n.Epoch).
-			Str("reason", n.Reason).Dur("confirmed", n.Age).Msg("route: durable " + n.Event)
+			Str("reason", n.Reason).Dur("confirmed", n.ConfirmationAge).Msg("route: durable " + n.Event)
 	}
 }
 
-// Accept stores a durable job and has it run. It returns once the job is stored or refused. If ctx
+// AcceptDurable stores a durable job and has it run. It returns once the job is stored or refused. If ctx
 // ends before that, it returns errkind.FateUnknown.
-func (e *Entry) Accept(ctx context.Context, name string, row *ledger.Row) errkind.Kind {
+func (e *Entry) AcceptDurable(ctx context.Context, name string, row *ledger.Row) errkind.Kind {
 	return e.durable.request(ctx, func(id ledger.RequestID, now time.Time) { e.durable.ledger.Accept(now, id, name, row) })
 }
 
@@ -395,9 +395,9 @@
 func (e *Entry) currentState(name string, ended chan<- struct{}) JobStatus {
 	status := make(chan JobStatus, 1)
 	e.post(func(c *core.Core, now time.Time) {
-		s := JobStatus{Certain: e.durable.ledger.Fresh(now, maxStaleness)}
+		s := JobStatus{Certain: e.durable.ledger.IsFresh(now, maxStaleness)}
 		s.State, s.Known = e.durable.ledger.State(name)
-		if local, running := c.State(name); running && s.Known && !s.State.Ended() && !local.Ended() {
+		if local, running := c.DurableState(name); running && s.Known && !s.State.Ended() && !local.Ended() {
 			s.State = local
 		}
 		if s.Known && !s.State.Ended() && ended != nil {
@@ -413,11 +413,11 @@
 	}
 }
 
-// Waiting returns the number of durable jobs in a queue none of whose tasks has begun.
-func (e *Entry) Waiting(queue string) int {
+// QueuedDurable returns the number of durable jobs in a queue none of whose tasks has begun.
+func (e *Entry) QueuedDurable(queue string) int {
 	e.durable.ensureFresh(e.work)
 	n := make(chan int, 1)
-	e.post(func(*core.Core, time.Time) { n <- e.durable.ledger.Waiting(queue) })
+	e.post(func(*core.Core, time.Time) { n <- e.durable.ledger.QueuedJobs(queue) })
 	select {
 	case waiting := <-n:
 		return waiting
--- a/service/batch/durable_test.go
+++ b/service/batch/durable_test.go
@@ -36,14 +36,14 @@
 	store := &emptyStore{fakeStore: fakeStore{docs: make(chan *Document)}}
 	e := startEntryOn(t, store)
 	waitFor(t, "the store is not polled", func() bool { return e.durable.empty.Load() })
-	end := runs.End{Key: runs.Key{Task: "00000000000000aa.0.0.0", Run: 1}, How: runs.Done, Held: true}
+	end := runs.End{Key: runs.Key{Task: "00000000000000aa.0.0.0", Run: 1}, Outcome: runs.OutcomeDone, NeedsAck: true}
 	resolved := make(chan bool, 1)
 	waitFor(t, "the end is not resolved", func() bool {
 		e.post(func(_ *core.Core, now time.Time) {
 			for range 50 {
-				e.durable.resolveUnowned(now, core.Unowned{End: end})
+				e.durable.resolveUnowned(now, core.UnownedEnd{End: end})
 			}
-			noted, _ := e.durable.ledger.Settle(now, end)
+			noted, _ := e.durable.ledger.ResolveEnd(now, end)
 			resolved <- noted
 		})
 		return <-resolved
--- a/service/batch/entry.go
+++ b/service/batch/entry.go
@@ -45,7 +45,7 @@
 	// Document is a new version of the configuration; nil if there is none.
 	Document *Document
 	// Drains is the current view of the drained data centres.
-	Drains runs.Drains
+	Drains runs.DrainView
 }
 
 // Store is the platform's store: it keeps the operator state, the registry of entries and the
@@ -54,10 +54,10 @@
 	// NextUpdate waits for a change of the operator state, at most for wait. If nothing changes in
 	// that time, the returned Update confirms the view of the drained data centres.
 	NextUpdate(ctx context.Context, wait time.Duration) (Update, error)
-	// Arriving reports whether NextUpdate is currently receiving a configuration.
-	Arriving() bool
-	// Parse decodes a configuration that another entry has sent.
-	Parse(raw []byte) (*Document, error)
+	// ConfigArriving reports whether NextUpdate is currently receiving a configuration.
+	ConfigArriving() bool
+	// ParseConfig decodes a configuration that another entry has sent.
+	ParseConfig(raw []byte) (*Document, error)
 	// Register writes the registry row of an entry.
 	Register(ctx context.Context, e runs.Entry) error
 	// Unregister removes a row of the registry, unless it has changed since it was read.
@@ -115,7 +115,7 @@
 	logBudget *logs.Budget
 	self      runs.Entry
 	core      *core.Core
-	events    *eventloop.Ring[*core.Core]
+	events    *eventloop.Queue[*core.Core]
 	// links and pendingAnswers are used by the event loop only, as are core and tickedAt.
 	links          map[core.LinkID]*link
 	pendingAnswers map[core.RequestID]chan core.Answer
@@ -157,7 +157,7 @@
 		agentTraffic: telemetry.NewTraffic("agents", deps.Metrics), entryTraffic: telemetry.NewTraffic("entries", deps.Metrics),
 	}
 	e.work, e.abort = context.WithCancel(context.Background())
-	e.events = eventloop.New[*core.Core](eventQueueSize, eventloop.Batch, e.work.Done())
+	e.events = eventloop.New[*core.Core](eventQueueSize, eventloop.DefaultBatch, e.work.Done())
 	e.peers = newPeers(e)
 	e.durable = newDurableJobs(e, s.Ledger, s.WritesPerSecond)
 	return e, nil
@@ -180,9 +180,9 @@
 	e.log.Info().Str("entry", e.settings.Name).Msg("entry: draining")
 }
 
-// Ready reports whether this entry can take new connections: it has a configuration and workers,
+// IsReady reports whether this entry can take new connections: it has a configuration and workers,
 // and is not draining.
-func (e *Entry) Ready() bool {
+func (e *Entry) IsReady() bool {
 	return e.config.Load() != nil && e.workers.Load() > 0 && !e.draining.Load()
 }
 
@@ -205,8 +205,8 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case ev := <-e.events.Next():
-			e.events.Take(ev, e.core, boottime.Now())
+		case ev := <-e.events.Events():
+			e.events.HandleBatch(ev, e.core, boottime.Now())
 		case <-timer.C:
 		}
 		now := boottime.Now()
@@ -225,11 +225,11 @@
 	}
 	e.tickedAt = now
 	e.ticks.Add(1)
-	e.core.LearnDrains(now, e.drains.view(now))
+	e.core.UpdateDrains(now, e.drains.view(now))
 	e.core.Tick(now)
 	e.durable.tick(now)
 	e.workers.Store(int64(e.core.Workers()))
-	e.peers.setShort(e.core.Short(e.peers.exchangeCount() > 0))
+	e.peers.setShort(e.core.IsShortOfAgents(e.peers.exchangeCount() > 0))
 	e.updateGauges()
 }
 
@@ -248,7 +248,7 @@
 
 // tickInterval returns the current time between two ticks.
 func (e *Entry) tickInterval() time.Duration {
-	if e.core.Jobs() == 0 {
+	if e.core.OpenRequests() == 0 {
 		return idleTickInterval
 	}
 	return busyTickInterval
@@ -256,7 +256,7 @@
 
 // handleCoreOutput carries out what the core asks for.
 func (e *Entry) handleCoreOutput(out core.Output) {
-	for _, id := range out.Closes {
+	for _, id := range out.CloseLinks {
 		if l := e.links[id]; l != nil {
 			l.stop()
 		}
@@ -273,7 +273,7 @@
 		}
 	}
 	e.peers.broadcastSuspects(out.Suspects)
-	e.logDecisions(out.Notes)
+	e.logDecisions(out.Decisions)
 }
 
 // maxLinesPerSecond is the maximum rate of log lines for each kind of event. It is about twice the
@@ -281,11 +281,11 @@
 const maxLinesPerSecond = 400
 
 // logDecisions counts decisions and logs them, within the rate limit of each kind of event.
-func (e *Entry) logDecisions(notes []core.Note) {
+func (e *Entry) logDecisions(notes []core.Decision) {
 	for i := range notes {
 		n := &notes[i]
 		e.countDecision(n)
-		ok, leftOut := e.logBudget.Allow(n.Event+n.How.String(), boottime.Now())
+		ok, leftOut := e.logBudget.Allow(n.Event+n.Outcome.String(), boottime.Now())
 		if !ok {
 			continue
 		}
@@ -299,7 +299,7 @@
 
 // addDecisionFields adds to a log line what a decision is about and what it was based on. Fields
 // without a value are left out.
-func addDecisionFields(line *zerolog.Event, n *core.Note) *zerolog.Event {
+func addDecisionFields(line *zerolog.Event, n *core.Decision) *zerolog.Event {
 	addString := func(name, value string) {
 		if value != "" {
 			line.Str(name, value)
@@ -318,8 +318,8 @@
 	if n.Key.Task != "" {
 		line.Str("task", n.Key.Task).Uint32("run", n.Key.Run)
 	}
-	if n.How != 0 {
-		line.Stringer("how", n.How)
+	if n.Outcome != 0 {
+		line.Stringer("how", n.Outcome)
 	}
 	addString("agent", n.Agent)
 	addString("worker", n.Worker)
@@ -331,8 +331,8 @@
 	if n.Deferred {
 		line.Bool("deferred", true)
 	}
-	if n.Lost > 0 {
-		line.Int("workers_lost", n.Lost).Int("blamed", n.Blamed)
+	if n.LostWorkers > 0 {
+		line.Int("workers_lost", n.LostWorkers).Int("blamed", n.BlamedCrashes)
 	}
 	return line
 }
@@ -340,11 +340,11 @@
 func metricName(event string) string { return strings.ReplaceAll(event, " ", "_") }
 
 // countDecision updates the metrics of decisions.
-func (e *Entry) countDecision(n *core.Note) {
+func (e *Entry) countDecision(n *core.Decision) {
 	name := metricName(n.Event)
 	switch n.Event {
 	case "end":
-		name = "run." + n.How.String()
+		name = "run." + n.Outcome.String()
 	case "refuse", "defer", "give up":
 		name += "." + strings.ReplaceAll(n.Reason, " ", "_")
 	case "worker lost":
@@ -352,9 +352,9 @@
 	case "done":
 		telemetry.Histogram("job.ms", e.deps.Metrics).Update(n.Age.Milliseconds())
 	}
-	telemetry.Count("decisions."+name, e.deps.Metrics)
+	telemetry.IncCounter("decisions."+name, e.deps.Metrics)
 	if n.Deferred {
-		telemetry.Count("deferred."+deferredOutcomes[n.Event]+"."+n.Queue, e.deps.Metrics)
+		telemetry.IncCounter("deferred."+deferredOutcomes[n.Event]+"."+n.Queue, e.deps.Metrics)
 	}
 }
 
@@ -363,16 +363,16 @@
 
 // updateGauges updates the metrics of the current state.
 func (e *Entry) updateGauges() {
-	telemetry.Gauge("jobs", e.deps.Metrics, int64(e.core.Jobs()))
-	telemetry.Gauge("durable.open", e.deps.Metrics, int64(e.durable.ledger.Open()))
-	telemetry.Gauge("workers", e.deps.Metrics, e.workers.Load())
-	telemetry.Gauge("ticks", e.deps.Metrics, e.ticks.Load())
-	telemetry.Gauge("links", e.deps.Metrics, int64(len(e.links)))
-	telemetry.Gauge("config.version", e.deps.Metrics, int64(e.configVersion()))
+	telemetry.SetGauge("jobs", e.deps.Metrics, int64(e.core.OpenRequests()))
+	telemetry.SetGauge("durable.open", e.deps.Metrics, int64(e.durable.ledger.OpenJobs()))
+	telemetry.SetGauge("workers", e.deps.Metrics, e.workers.Load())
+	telemetry.SetGauge("ticks", e.deps.Metrics, e.ticks.Load())
+	telemetry.SetGauge("links", e.deps.Metrics, int64(len(e.links)))
+	telemetry.SetGauge("config.version", e.deps.Metrics, int64(e.configVersion()))
 	drained := e.drains.view(e.tickedAt)
-	telemetry.Gauge("drained_data_centres", e.deps.Metrics, int64(len(drained.DataCentres)))
-	telemetry.Gauge("drains.age_ms", e.deps.Metrics, drained.Age.Milliseconds())
-	telemetry.Gauge("logs.dropped", e.deps.Metrics, e.deps.Logs.Dropped())
+	telemetry.SetGauge("drained_data_centres", e.deps.Metrics, int64(len(drained.DataCentres)))
+	telemetry.SetGauge("drains.age_ms", e.deps.Metrics, drained.Age.Milliseconds())
+	telemetry.SetGauge("logs.dropped", e.deps.Metrics, e.deps.Logs.Dropped())
 	e.agentTraffic.Log(e.tickedAt, e.log, "entry: traffic", len(e.links))
 	e.entryTraffic.Log(e.tickedAt, e.log, "entry: traffic", e.peers.exchangeCount())
 }
@@ -400,7 +400,7 @@
 	case <-ctx.Done():
 		e.post(func(c *core.Core, now time.Time) {
 			delete(e.pendingAnswers, r.ID)
-			c.Cancel(now, r.ID)
+			c.CancelRequest(now, r.ID)
 		})
 		return core.Answer{Kind: errkind.Canceled}
 	case <-e.work.Done():
@@ -420,10 +420,10 @@
 	}
 }
 
-// Jobs returns the number of awaited jobs without an answer.
-func (e *Entry) Jobs() int {
+// OpenRequests returns the number of awaited jobs without an answer.
+func (e *Entry) OpenRequests() int {
 	n := make(chan int, 1)
-	e.post(func(c *core.Core, _ time.Time) { n <- c.Jobs() })
+	e.post(func(c *core.Core, _ time.Time) { n <- c.OpenRequests() })
 	select {
 	case jobs := <-n:
 		return jobs
--- a/service/batch/exchange.go
+++ b/service/batch/exchange.go
@@ -49,7 +49,7 @@
 }
 
 // Gossip implements runs.Server.
-func (e *Entry) Gossip(stream runs.GossipEnd) error {
+func (e *Entry) Gossip(stream runs.GossipStream) error {
 	ctx, stop := context.WithCancel(stream.Context())
 	defer stop()
 	e.peers.runExchange(ctx, func() { stop(); _ = stream.Close() }, stream, false)
@@ -58,7 +58,7 @@
 
 // runExchange serves a stream until it breaks or times out. It reports whether any message was
 // received.
-func (p *peers) runExchange(ctx context.Context, stop func(), stream runs.GossipEnd, dialed bool) bool {
+func (p *peers) runExchange(ctx context.Context, stop func(), stream runs.GossipStream, dialed bool) bool {
 	x := &exchange{dialed: dialed, wake: make(chan struct{}, 1), fullView: true}
 	p.mu.Lock()
 	p.exchanges[x] = true
@@ -88,11 +88,11 @@
 
 // sendLoop sends messages: at once after a change, otherwise at an interval. A message includes a
 // chunk of the configuration if the other side has asked for one.
-func (p *peers) sendLoop(ctx context.Context, stream runs.GossipEnd, x *exchange, remote <-chan remoteState) {
+func (p *peers) sendLoop(ctx context.Context, stream runs.GossipStream, x *exchange, remote <-chan remoteState) {
 	var last remoteState
 	for {
 		msg := p.nextMessage(x)
-		msg.Want, msg.WantFrom = p.configFetch.request(time.Now(), msg.ConfigVersion, last.version, p.entry.deps.Store.Arriving())
+		msg.WantConfig, msg.WantConfigFrom = p.configFetch.request(time.Now(), msg.ConfigVersion, last.version, p.entry.deps.Store.ConfigArriving())
 		if last.wantsConfig {
 			last.wantsConfig = false
 			p.addConfigChunk(msg, last)
@@ -127,7 +127,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	msg := &runs.Gossip{
-		Self: p.view.Self(), Members: x.pending, Digest: p.view.Digest(), ConfigVersion: p.entry.configVersion(),
+		Self: p.view.Self(), Members: x.pending, AliveDigest: p.view.Digest(), ConfigVersion: p.entry.configVersion(),
 		Closing: x.closing, Drains: p.entry.drains.view(boottime.Now()), Suspects: x.suspects,
 	}
 	if x.fullView {
@@ -158,7 +158,7 @@
 
 // receiveLoop handles messages until the stream breaks, and calls stop if none arrives for
 // exchangeTimeout. It reports whether any message was received. remote holds the newest state only.
-func (p *peers) receiveLoop(stop func(), stream runs.GossipEnd, x *exchange, remote chan remoteState) (reached bool) {
+func (p *peers) receiveLoop(stop func(), stream runs.GossipStream, x *exchange, remote chan remoteState) (reached bool) {
 	silence := time.AfterFunc(exchangeTimeout, stop)
 	defer silence.Stop()
 	for {
@@ -173,7 +173,7 @@
 		p.entry.updateDrains(msg.Drains, msg.Self.Entry.Address)
 		p.receiveSuspects(msg.Suspects)
 		p.receiveConfigChunk(x, msg)
-		latest := remoteState{version: msg.ConfigVersion, wantsConfig: msg.Want, configOffset: msg.WantFrom}
+		latest := remoteState{version: msg.ConfigVersion, wantsConfig: msg.WantConfig, configOffset: msg.WantConfigFrom}
 		select {
 		case unread := <-remote:
 			if unread.wantsConfig && !latest.wantsConfig {
@@ -193,9 +193,9 @@
 	if !x.closing {
 		p.lastHeard[x.address] = now
 	}
-	ch := p.view.Hear(now, append(msg.Members, msg.Self))
+	ch := p.view.Merge(now, append(msg.Members, msg.Self))
 	p.broadcastLocked(ch, x)
-	if p.view.Gone(x.address) {
+	if p.view.IsGone(x.address) {
 		x.fullView = true // the other entry needs this record to publish a newer one of itself
 		x.wakeSender()
 	}
@@ -203,7 +203,7 @@
 		delete(p.lastHeard, x.address) // the entry has not gone
 		x.address = ""
 	}
-	if msg.Digest == p.view.Digest() {
+	if msg.AliveDigest == p.view.Digest() {
 		x.digestMismatches = 0
 	} else if x.digestMismatches++; x.digestMismatches >= mismatchesBeforeFullView {
 		x.digestMismatches, x.fullView = 0, true
@@ -224,7 +224,7 @@
 		x.wakeSender() // asks for the next chunk
 		return
 	}
-	doc, err := p.entry.deps.Store.Parse(raw)
+	doc, err := p.entry.deps.Store.ParseConfig(raw)
 	if err != nil {
 		p.entry.log.Error().Err(err).Str("from", from).Msg("entry: a passed on configuration is not valid")
 		return
--- a/service/batch/link.go
+++ b/service/batch/link.go
@@ -35,7 +35,7 @@
 }
 
 // Link implements runs.Server.
-func (e *Entry) Link(stream runs.EntryEnd) error {
+func (e *Entry) Link(stream runs.EntryStream) error {
 	if err := e.handshake(stream); err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 
 // handshake receives the agent's first message and replies with this entry, the other live entries
 // and the drained data centres.
-func (e *Entry) handshake(stream runs.EntryEnd) error {
+func (e *Entry) handshake(stream runs.EntryStream) error {
 	timer := time.AfterFunc(helloTimeout, func() { _ = stream.Close() })
 	defer timer.Stop()
 	if _, err := stream.Recv(); err != nil {
@@ -75,7 +75,7 @@
 }
 
 // readLink posts the agent's messages to the event loop until the link breaks.
-func (e *Entry) readLink(stream runs.EntryEnd, l *link) error {
+func (e *Entry) readLink(stream runs.EntryStream, l *link) error {
 	defer l.stop()
 	for {
 		msg, err := stream.Recv()
@@ -88,7 +88,7 @@
 }
 
 // writeLink sends the queued messages until ctx ends or the link breaks.
-func (e *Entry) writeLink(ctx context.Context, stream runs.EntryEnd, l *link) error {
+func (e *Entry) writeLink(ctx context.Context, stream runs.EntryStream, l *link) error {
 	for {
 		select {
 		case msg := <-l.queue:
--- a/service/batch/partitionwriter.go
+++ b/service/batch/partitionwriter.go
@@ -50,7 +50,7 @@
 	select {
 	case p.writes <- w:
 	default:
-		go p.report([]ledger.Write{w}, []ledger.Outcome{{Fate: ledger.NotDone}})
+		go p.report([]ledger.Write{w}, []ledger.WriteResult{{Status: ledger.Rejected}})
 	}
 }
 
@@ -109,7 +109,7 @@
 }
 
 // transact makes one transaction and adapts the timeout to its duration.
-func (p *partitionWriter) transact(ctx context.Context, group []ledger.Write) ([]ledger.Outcome, error) {
+func (p *partitionWriter) transact(ctx context.Context, group []ledger.Write) ([]ledger.WriteResult, error) {
 	callCtx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
 	began := time.Now()
@@ -125,11 +125,11 @@
 // reportFinal reports the results that are final and returns the writes to repeat. Rejected writes
 // are repeated, such as the other writes of a group after a conflict, unless giveUp is set and they
 // are urgent.
-func (p *partitionWriter) reportFinal(group []ledger.Write, outcomes []ledger.Outcome, giveUp bool) []ledger.Write {
+func (p *partitionWriter) reportFinal(group []ledger.Write, outcomes []ledger.WriteResult, giveUp bool) []ledger.Write {
 	var again, final []ledger.Write
-	var results []ledger.Outcome
+	var results []ledger.WriteResult
 	for i, w := range group {
-		if outcomes[i].Fate == ledger.NotDone && !(giveUp && w.Urgent) {
+		if outcomes[i].Status == ledger.Rejected && !(giveUp && w.Urgent) {
 			again = append(again, w)
 			continue
 		}
@@ -140,9 +140,9 @@
 	return again
 }
 
-func allRejected(outcomes []ledger.Outcome) bool {
+func allRejected(outcomes []ledger.WriteResult) bool {
 	for _, o := range outcomes {
-		if o.Fate != ledger.NotDone {
+		if o.Status != ledger.Rejected {
 			return false
 		}
 	}
@@ -150,13 +150,13 @@
 }
 
 // report hands the results of writes to the ledger, in the event loop.
-func (p *partitionWriter) report(writes []ledger.Write, outcomes []ledger.Outcome) {
+func (p *partitionWriter) report(writes []ledger.Write, outcomes []ledger.WriteResult) {
 	if len(writes) == 0 {
 		return
 	}
 	p.entry.post(func(_ *core.Core, now time.Time) {
 		for i, w := range writes {
-			p.entry.durable.ledger.Written(now, w, outcomes[i])
+			p.entry.durable.ledger.HandleWriteResult(now, w, outcomes[i])
 		}
 	})
 }
--- a/service/batch/partitionwriter_test.go
+++ b/service/batch/partitionwriter_test.go
@@ -18,10 +18,10 @@
 	*fakeStore
 	mu     sync.Mutex
 	groups [][]ledger.Write
-	script []func(writes []ledger.Write) ([]ledger.Outcome, error)
+	script []func(writes []ledger.Write) ([]ledger.WriteResult, error)
 }
 
-func (s *scriptedStore) WriteJobs(_ context.Context, writes []ledger.Write) ([]ledger.Outcome, error) {
+func (s *scriptedStore) WriteJobs(_ context.Context, writes []ledger.Write) ([]ledger.WriteResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.groups = append(s.groups, writes)
@@ -29,21 +29,21 @@
 	return answer(writes)
 }
 
-func outcomeForAll(fate ledger.Fate) func([]ledger.Write) ([]ledger.Outcome, error) {
-	return func(writes []ledger.Write) ([]ledger.Outcome, error) {
-		outcomes := make([]ledger.Outcome, len(writes))
+func outcomeForAll(fate ledger.WriteStatus) func([]ledger.Write) ([]ledger.WriteResult, error) {
+	return func(writes []ledger.Write) ([]ledger.WriteResult, error) {
+		outcomes := make([]ledger.WriteResult, len(writes))
 		for i := range outcomes {
-			outcomes[i].Fate = fate
+			outcomes[i].Status = fate
 		}
 		return outcomes, nil
 	}
 }
 
-func noAnswer([]ledger.Write) ([]ledger.Outcome, error) { return nil, errUnavailable }
+func noAnswer([]ledger.Write) ([]ledger.WriteResult, error) { return nil, errUnavailable }
 
 // commitGroup commits a group of writes against a scripted store and returns the transactions that
 // were made.
-func commitGroup(t *testing.T, group []ledger.Write, script ...func([]ledger.Write) ([]ledger.Outcome, error)) [][]ledger.Write {
+func commitGroup(t *testing.T, group []ledger.Write, script ...func([]ledger.Write) ([]ledger.WriteResult, error)) [][]ledger.Write {
 	t.Helper()
 	s := &scriptedStore{fakeStore: &fakeStore{docs: make(chan *Document)}, script: script}
 	e := startEntryOn(t, s)
@@ -54,7 +54,7 @@
 func TestTransactionOfUnknownResultIsRepeatedUnchanged(t *testing.T) {
 	is := is.New(t)
 	group := []ledger.Write{{Job: "a", Urgent: true}, {Job: "b"}}
-	made := commitGroup(t, group, noAnswer, noAnswer, outcomeForAll(ledger.NotDone), outcomeForAll(ledger.NotDone), outcomeForAll(ledger.NotDone), outcomeForAll(ledger.Applied))
+	made := commitGroup(t, group, noAnswer, noAnswer, outcomeForAll(ledger.Rejected), outcomeForAll(ledger.Rejected), outcomeForAll(ledger.Rejected), outcomeForAll(ledger.Applied))
 	// A write that may have been carried out is never given up, however often it is rejected.
 	is.Equal(len(made), 6)
 	for _, m := range made {
@@ -64,7 +64,7 @@
 
 func TestOnlyUrgentWritesFailAfterRejections(t *testing.T) {
 	is := is.New(t)
-	rejected := outcomeForAll(ledger.NotDone)
+	rejected := outcomeForAll(ledger.Rejected)
 	made := commitGroup(t, []ledger.Write{{Job: "a", Urgent: true}, {Job: "b"}}, rejected, rejected, rejected, rejected, outcomeForAll(ledger.Applied))
 	is.Equal(len(made), 5)
 	is.Equal(made[3], []ledger.Write{{Job: "b"}})
@@ -72,8 +72,8 @@
 
 func TestOtherWritesOfAGroupAreRepeatedAfterAConflict(t *testing.T) {
 	is := is.New(t)
-	conflict := func([]ledger.Write) ([]ledger.Outcome, error) {
-		return []ledger.Outcome{{Fate: ledger.Conflict}, {Fate: ledger.NotDone}}, nil
+	conflict := func([]ledger.Write) ([]ledger.WriteResult, error) {
+		return []ledger.WriteResult{{Status: ledger.Conflict}, {Status: ledger.Rejected}}, nil
 	}
 	made := commitGroup(t, []ledger.Write{{Job: "a"}, {Job: "b"}}, conflict, outcomeForAll(ledger.Applied))
 	is.Equal(len(made), 2)
--- a/service/batch/peers.go
+++ b/service/batch/peers.go
@@ -143,7 +143,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
 	store := p.entry.deps.Store
-	rows, err := store.Entries(callCtx, registry.Place(p.entry.self.Address), registry.Followers)
+	rows, err := store.Entries(callCtx, registry.RingPosition(p.entry.self.Address), registry.EntryReadLimit)
 	if err != nil {
 		p.entry.log.Warn().Err(err).Msg("entry: the registry of entries does not answer")
 		return
@@ -166,7 +166,7 @@
 func (p *peers) addRegistryRows(rows []registry.Row) (stale []registry.Row, missing bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	stale, missing = p.registry.Read(rows, p.view.Lives)
+	stale, missing = p.registry.Update(rows, p.view.IsAlive)
 	for _, r := range rows {
 		p.candidates[r.Entry.Address] = true
 	}
@@ -184,7 +184,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	alive := p.view.Addresses()
+	alive := p.view.AliveAddresses()
 	for address, o := range p.outgoing {
 		if !slices.Contains(wanted, address) && slices.Contains(alive, address) && time.Since(o.startedAt) > minExchangeAge {
 			p.closeOutgoingLocked(address, o)
@@ -210,7 +210,7 @@
 func (p *peers) neighbours() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	alive := p.view.Addresses()
+	alive := p.view.AliveAddresses()
 	known := slices.Clone(alive)
 	for address := range p.candidates {
 		known = append(known, address)
@@ -236,7 +236,7 @@
 func (p *peers) maintain(ctx context.Context, address string, o *outgoingExchange) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	transport.Keep(ctx, func(ctx context.Context) bool {
+	transport.Maintain(ctx, func(ctx context.Context) bool {
 		if p.isClosing(o) {
 			stop()
 			return false
@@ -302,7 +302,7 @@
 func (p *peers) declareLostNeighbours() {
 	now := time.Now()
 	p.mu.Lock()
-	p.view.Forget(now)
+	p.view.ForgetGone(now)
 	var changes []membership.Change
 	for address, last := range p.lastHeard {
 		if p.hasExchangeLocked(address) {
@@ -311,7 +311,7 @@
 		}
 		if now.Sub(last) > neighbourTimeout {
 			delete(p.lastHeard, address)
-			changes = append(changes, p.view.Lost(now, address))
+			changes = append(changes, p.view.MarkGone(now, address))
 		}
 	}
 	for _, ch := range changes {
@@ -343,7 +343,7 @@
 		p.entry.log.Info().Str("peer", e.Address).Uint64("incarnation", e.Incarnation).Msg("entry: peer is gone")
 	}
 	for _, e := range ch.Joined {
-		p.entry.log.Info().Str("peer", e.Address).Uint64("incarnation", e.Incarnation).Bool("short", e.Short).
+		p.entry.log.Info().Str("peer", e.Address).Uint64("incarnation", e.Incarnation).Bool("short", e.ShortOfAgents).
 			Msg("entry: peer is alive")
 	}
 	if len(ch.Joined) > 0 {
@@ -370,7 +370,7 @@
 func (p *peers) aliveCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.view.Len()
+	return p.view.AliveCount()
 }
 
 // recentlyHeard returns the other entries that are alive now: neighbours that have sent a message
--- a/service/batch/peers_test.go
+++ b/service/batch/peers_test.go
@@ -24,7 +24,7 @@
 type fakeStore struct {
 	unavailableJobs
 	docs   chan *Document
-	drains chan runs.Drains
+	drains chan runs.DrainView
 	parsed atomic.Int64
 }
 
@@ -35,9 +35,9 @@
 func (unavailableJobs) JobChanges(context.Context, uint64, time.Duration) (Changes, error) {
 	return Changes{}, errUnavailable
 }
-func (unavailableJobs) JobParts() int      { return 1 }
-func (unavailableJobs) JobPart(string) int { return 0 }
-func (unavailableJobs) WriteJobs(context.Context, []ledger.Write) ([]ledger.Outcome, error) {
+func (unavailableJobs) JobPartitions() int      { return 1 }
+func (unavailableJobs) JobPartition(string) int { return 0 }
+func (unavailableJobs) WriteJobs(context.Context, []ledger.Write) ([]ledger.WriteResult, error) {
 	return nil, errUnavailable
 }
 
@@ -54,9 +54,9 @@
 	}
 }
 
-func (s *fakeStore) Arriving() bool { return false }
+func (s *fakeStore) ConfigArriving() bool { return false }
 
-func (s *fakeStore) Parse(raw []byte) (*Document, error) {
+func (s *fakeStore) ParseConfig(raw []byte) (*Document, error) {
 	s.parsed.Add(1)
 	return document(uint64(raw[0])), nil
 }
@@ -84,7 +84,7 @@
 // startEntry runs an entry with the given seeds on a new fakeStore.
 func startEntry(t *testing.T, seeds ...string) (*Entry, *fakeStore) {
 	t.Helper()
-	store := &fakeStore{docs: make(chan *Document, 8), drains: make(chan runs.Drains, 8)}
+	store := &fakeStore{docs: make(chan *Document, 8), drains: make(chan runs.DrainView, 8)}
 	return startEntryOn(t, store, seeds...), store
 }
 
@@ -100,7 +100,7 @@
 	t.Helper()
 	e, err := New(Settings{
 		Name: "e", Address: freeAddress(t), Seeds: seeds,
-		Core: core.Settings{DataCentre: "d", StallLimit: time.Hour, Beat: time.Second, IdleBeat: time.Second},
+		Core: core.Settings{DataCentre: "d", SuspensionThreshold: time.Hour, HeartbeatInterval: time.Second, IdleHeartbeatInterval: time.Second},
 	}, Deps{Logs: logs.Discard(), Transport: transport.New(nil), Store: store, Metrics: metrics.NewRegistry()})
 	if err != nil {
 		t.Fatal(err)
--- a/service/batch/suspects.go
+++ b/service/batch/suspects.go
@@ -31,5 +31,5 @@
 	if len(list) == 0 {
 		return
 	}
-	p.entry.post(func(c *core.Core, now time.Time) { c.LearnSuspects(now, list) })
+	p.entry.post(func(c *core.Core, now time.Time) { c.MergeSuspects(now, list) })
 }
--- a/service/batch/suspects_test.go
+++ b/service/batch/suspects_test.go
@@ -13,11 +13,11 @@
 func TestSuspectsReachAllEntries(t *testing.T) {
 	entries, _ := startEntries(t, 9)
 	waitFor(t, "some entries do not know all others", allKnowCount(entries, len(entries)))
-	entries[0].peers.receiveSuspects([]runs.Suspect{{Task: "t", Lost: 1, Blamed: 1}})
+	entries[0].peers.receiveSuspects([]runs.Suspect{{Task: "t", LostWorkers: 1, BlamedCrashes: 1}})
 	for _, e := range entries {
 		waitFor(t, "an entry does not know the suspect", func() bool {
 			known := make(chan bool, 1)
-			e.post(func(c *core.Core, _ time.Time) { known <- c.Suspected("t") })
+			e.post(func(c *core.Core, _ time.Time) { known <- c.IsSuspect("t") })
 			return <-known
 		})
 	}
