--- a/service/claimstore/store.go
+++ b/service/claimstore/store.go
@@ -52,7 +52,7 @@
 type Store struct {
 	settings Settings
 	table    table.Table
-	objects  table.Objects
+	objects  table.ObjectStore
 	events   chan func(now time.Time)
 	grouper  *group.Grouper
 	deliver  func([]claim.Result)
@@ -63,7 +63,7 @@
 
 // New returns a store. deliver is called from the goroutine of Run with the results of writes; it
 // must not block for long.
-func New(settings Settings, t table.Table, o table.Objects, deliver func([]claim.Result)) *Store {
+func New(settings Settings, t table.Table, o table.ObjectStore, deliver func([]claim.Result)) *Store {
 	return &Store{
 		settings: settings, table: t, objects: o, deliver: deliver,
 		events: make(chan func(time.Time), eventQueueSize), grouper: group.New(settings.Group),
@@ -126,8 +126,8 @@
 	return max(0, time.Until(wake))
 }
 
-// Write queues writes. It reports false, without effect, if the event queue is full.
-func (s *Store) Write(writes []claim.Write) bool {
+// Enqueue queues writes. It reports false, without effect, if the event queue is full.
+func (s *Store) Enqueue(writes []claim.Write) bool {
 	return s.post(func(time.Time) {
 		for _, w := range writes {
 			s.grouper.Add(w)
@@ -135,15 +135,15 @@
 	})
 }
 
-// Reachable reports whether the table service answered another request. The report is dropped if
+// ReportReachable reports whether the table service answered another request. The report is dropped if
 // the event queue is full.
-func (s *Store) Reachable(ok bool) {
-	s.post(func(time.Time) { s.grouper.Reachable(ok) })
+func (s *Store) ReportReachable(ok bool) {
+	s.post(func(time.Time) { s.grouper.ReportReachable(ok) })
 }
 
-// SetShares sets the number of live entries by which the write budget is divided.
-func (s *Store) SetShares(n int) {
-	s.post(func(time.Time) { s.grouper.SetShares(n) })
+// SetLiveEntries sets the number of live entries by which the write budget is divided.
+func (s *Store) SetLiveEntries(n int) {
+	s.post(func(time.Time) { s.grouper.SetLiveEntries(n) })
 }
 
 // Snapshot is the state of a store for metrics.
@@ -162,7 +162,7 @@
 func (s *Store) Snapshot(ctx context.Context) Snapshot {
 	snapshots := make(chan Snapshot, 1)
 	ok := s.post(func(time.Time) {
-		snapshots <- Snapshot{Stats: s.grouper.Stats(), Waiting: s.grouper.Waiting(), Rate: s.grouper.Rate(), Away: s.grouper.Away()}
+		snapshots <- Snapshot{Stats: s.grouper.Stats(), Waiting: s.grouper.Waiting(), Rate: s.grouper.Rate(), Away: s.grouper.InOutage()}
 	})
 	if !ok {
 		return Snapshot{}
@@ -199,14 +199,14 @@
 // commitGroup commits the claims of a group and their index rows in one transaction. It returns the
 // status, the new version of the rows if the transaction was applied, and the conflicting rows if it
 // conflicted.
-func (s *Store) commitGroup(ctx context.Context, g *group.Group) (group.Fate, uint64, []group.Conflict) {
+func (s *Store) commitGroup(ctx context.Context, g *group.Group) (group.TxnStatus, uint64, []group.Conflict) {
 	ctx, cancel := context.WithTimeout(ctx, s.settings.Timeout)
 	defer cancel()
 	ops := make([]table.Op, 0, 2*len(g.Writes))
 	for _, w := range g.Writes {
 		op, err := s.encodeClaim(ctx, w)
 		if err != nil {
-			return group.Refused, 0, nil // the transaction was not sent
+			return group.NotApplied, 0, nil // the transaction was not sent
 		}
 		ops = append(ops, op)
 	}
@@ -216,7 +216,7 @@
 	commit, err := s.table.Commit(ctx, ops)
 	switch {
 	case errors.Is(err, table.ErrNotSent), errors.Is(err, table.ErrThrottled):
-		return group.Refused, 0, nil
+		return group.NotApplied, 0, nil
 	case err != nil:
 		return group.Lost, 0, nil
 	case commit.Applied:
@@ -224,7 +224,7 @@
 	}
 	conflicts, err := s.decodeConflicts(ctx, commit.Conflicts)
 	if err != nil {
-		return group.Refused, 0, nil // a conflicting transaction had no effect
+		return group.NotApplied, 0, nil // a conflicting transaction had no effect
 	}
 	return group.Conflicted, 0, conflicts
 }
@@ -254,13 +254,13 @@
 // indexOps returns the operations on the index rows of a claim. An open claim gets a row under its
 // owner; for an ended claim that row is deleted and one under the time of its end is added.
 func (s *Store) indexOps(row *claim.Row) []table.Op {
-	owned := table.Op{Key: ownedPrefix(row.Owner) + row.Submission, IfVersion: table.Any, Value: []byte{'1'}}
+	owned := table.Op{Key: ownedPrefix(row.Owner) + row.Submission, IfVersion: table.AnyVersion, Value: []byte{'1'}}
 	if row.Phase == claim.Running {
 		return []table.Op{owned}
 	}
 	owned.Delete = true
 	owned.Value = nil
-	ended := table.Op{Key: endedKey(time.Now(), row.Submission), IfVersion: table.Any, Value: []byte(row.Blob)}
+	ended := table.Op{Key: endedKey(time.Now(), row.Submission), IfVersion: table.AnyVersion, Value: []byte(row.Blob)}
 	return []table.Op{owned, ended}
 }
 
@@ -271,9 +271,9 @@
 
 const secondsPerMinute = 60
 
-// Expire deletes up to limit claims that ended before a time, in one transaction, together with their
+// DeleteExpired deletes up to limit claims that ended before a time, in one transaction, together with their
 // index rows and objects. It returns the number of index rows that it found.
-func (s *Store) Expire(ctx context.Context, before time.Time, limit int) (int, error) {
+func (s *Store) DeleteExpired(ctx context.Context, before time.Time, limit int) (int, error) {
 	rows, err := s.table.List(ctx, prefixEnded, "", limit)
 	if err != nil {
 		return 0, err
@@ -303,7 +303,7 @@
 	var ops []table.Op
 	owner := make(map[int]int) // index of the row by that of the operation
 	for i, row := range rows {
-		ops = append(ops, table.Op{Key: row.Key, Delete: true, IfVersion: table.Any})
+		ops = append(ops, table.Op{Key: row.Key, Delete: true, IfVersion: table.AnyVersion})
 		if keep[i] {
 			continue
 		}
@@ -393,9 +393,9 @@
 	return decoded, row.Version, err
 }
 
-// Owned returns up to limit submissions that an entry incarnation owns according to its index rows,
+// ListOwned returns up to limit submissions that an entry incarnation owns according to its index rows,
 // some of which may be stale.
-func (s *Store) Owned(ctx context.Context, owner wire.EntryInfo, limit int) ([]string, error) {
+func (s *Store) ListOwned(ctx context.Context, owner wire.EntryInfo, limit int) ([]string, error) {
 	prefix := ownedPrefix(owner)
 	rows, err := s.table.List(ctx, prefix, "", limit)
 	if err != nil {
@@ -408,11 +408,11 @@
 	return list, nil
 }
 
-// Forget deletes index rows of an entry incarnation that are stale, such as those left by a takeover.
-func (s *Store) Forget(ctx context.Context, owner wire.EntryInfo, submissions []string) error {
+// DeleteIndexRows deletes index rows of an entry incarnation that are stale, such as those left by a takeover.
+func (s *Store) DeleteIndexRows(ctx context.Context, owner wire.EntryInfo, submissions []string) error {
 	ops := make([]table.Op, len(submissions))
 	for i, submission := range submissions {
-		ops[i] = table.Op{Key: ownedPrefix(owner) + submission, Delete: true, IfVersion: table.Any}
+		ops[i] = table.Op{Key: ownedPrefix(owner) + submission, Delete: true, IfVersion: table.AnyVersion}
 	}
 	_, err := s.table.Commit(ctx, ops)
 	return err
--- a/service/claimstore/store_test.go
+++ b/service/claimstore/store_test.go
@@ -41,7 +41,7 @@
 func (h *harness) write(row *claim.Row, ifVersion uint64) claim.Result {
 	h.nonce++
 	row.Nonce, row.Owner = h.nonce, owner
-	h.is.True(h.store.Write([]claim.Write{{Row: row, IfVersion: ifVersion}}))
+	h.is.True(h.store.Enqueue([]claim.Write{{Row: row, IfVersion: ifVersion}}))
 	return <-h.results
 }
 
@@ -53,12 +53,12 @@
 	second := h.write(&claim.Row{Submission: "c/t/k", Digest: 2, Epoch: 1}, 0)
 	h.is.Equal(second.Status, claim.Mismatch)
 	h.is.Equal(second.Current.Digest, uint64(1))
-	owned, err := h.store.Owned(ctx, owner, 10)
+	owned, err := h.store.ListOwned(ctx, owner, 10)
 	h.is.NoErr(err)
 	h.is.Equal(owned, []string{"c/t/k"})
 	closed := h.write(&claim.Row{Submission: "c/t/k", Digest: 1, Epoch: 1, Phase: claim.Closed, Outcome: &wire.Outcome{}}, first.Version)
 	h.is.Equal(closed.Status, claim.Applied)
-	owned, err = h.store.Owned(ctx, owner, 10)
+	owned, err = h.store.ListOwned(ctx, owner, 10)
 	h.is.NoErr(err)
 	h.is.Equal(len(owned), 0)
 }
@@ -71,7 +71,7 @@
 	h.is.NoErr(err)
 	h.is.Equal(len(row.Outcome.Tasks[0].Payload), 100<<10)
 	h.is.True(row.Blob != "")
-	_, err = h.store.Expire(context.Background(), time.Now().Add(time.Hour), 10)
+	_, err = h.store.DeleteExpired(context.Background(), time.Now().Add(time.Hour), 10)
 	h.is.NoErr(err)
 	_, err = h.objects.Get(context.Background(), row.Blob)
 	h.is.True(err != nil)
@@ -85,10 +85,10 @@
 	void := h.write(&claim.Row{Submission: "c/t/again", Phase: claim.Void}, 0)
 	h.write(&claim.Row{Submission: "c/t/old", Phase: claim.Closed, Outcome: &wire.Outcome{}}, 0)
 	h.write(&claim.Row{Submission: "c/t/again", Epoch: 2}, void.Version)
-	n, err := h.store.Expire(ctx, time.Now().Add(-time.Hour), 10)
+	n, err := h.store.DeleteExpired(ctx, time.Now().Add(-time.Hour), 10)
 	h.is.NoErr(err)
 	h.is.Equal(n, 0) // not old enough
-	n, err = h.store.Expire(ctx, time.Now().Add(time.Hour), 10)
+	n, err = h.store.DeleteExpired(ctx, time.Now().Add(time.Hour), 10)
 	h.is.NoErr(err)
 	h.is.Equal(n, 2)
 	again, _, err := h.store.Read(ctx, "c/t/again")
--- a/service/confwatch/store.go
+++ b/service/confwatch/store.go
@@ -84,7 +84,7 @@
 // be valid. The error is a Conflict if another change was accepted first, of the kind
 // store-unavailable if the change certainly has no effect, and of the kind fate-unknown otherwise.
 func (s *Store) Put(ctx context.Context, base uint64, author string, now time.Time, document []byte) (*config.Version, error) {
-	next := &config.Version{Number: base + 1, Author: author, At: now, Nonce: newNonce(), Document: document}
+	next := &config.Version{Number: base + 1, Author: author, AcceptedAt: now, Nonce: newNonce(), Document: document}
 	var lastErr error
 	mayHaveApplied := false
 	for attempt := range maxPutAttempts {
@@ -132,14 +132,14 @@
 
 // commit writes the current, head and history rows of a version in one transaction, provided that
 // the current row still has rowVersion.
-func (s *Store) commit(ctx context.Context, next *config.Version, rowVersion uint64) (table.Commit, error) {
+func (s *Store) commit(ctx context.Context, next *config.Version, rowVersion uint64) (table.CommitResult, error) {
 	data, err := json.Marshal(next)
 	if err != nil {
-		return table.Commit{}, eris.Wrap(err, "encode configuration")
+		return table.CommitResult{}, eris.Wrap(err, "encode configuration")
 	}
 	return s.table.Commit(ctx, []table.Op{
 		{Key: keyCurrent, Value: data, IfVersion: rowVersion},
-		{Key: keyHead, Value: strconv.AppendUint(nil, next.Number, 10), IfVersion: table.Any},
+		{Key: keyHead, Value: strconv.AppendUint(nil, next.Number, 10), IfVersion: table.AnyVersion},
 		{Key: historyKey(next.Number), Value: data, IfVersion: 0},
 	})
 }
--- a/service/confwatch/store_test.go
+++ b/service/confwatch/store_test.go
@@ -22,11 +22,11 @@
 	answersToLose int
 }
 
-func (t *lossyTable) Commit(ctx context.Context, ops []table.Op) (table.Commit, error) {
+func (t *lossyTable) Commit(ctx context.Context, ops []table.Op) (table.CommitResult, error) {
 	result, err := t.Table.Commit(ctx, ops)
 	if t.answersToLose > 0 {
 		t.answersToLose--
-		return table.Commit{}, errors.New("answer lost")
+		return table.CommitResult{}, errors.New("answer lost")
 	}
 	return result, err
 }
@@ -59,16 +59,16 @@
 	t1 := platformstandin.NewTable(1, 0, 0)
 	s := NewStore(t1)
 	ctx := context.Background()
-	w := NewWatcher(s, zerolog.Nop(), func(*config.Compiled) {}, func(bool) {})
-	is.True(!w.Fresh(time.Now()))
+	w := NewWatcher(s, zerolog.Nop(), func(*config.CompiledDocument) {}, func(bool) {})
+	is.True(!w.IsConfirmed(time.Now()))
 	for base := range uint64(3) {
 		_, err := s.Put(ctx, base, "op", time.Now(), []byte(document))
 		is.NoErr(err)
 	}
 	w.poll(ctx)
 	is.Equal(w.Current().Version, uint64(3))
-	is.True(w.Fresh(time.Now()))
-	is.True(!w.Fresh(time.Now().Add(maxPropagationTime + time.Second)))
+	is.True(w.IsConfirmed(time.Now()))
+	is.True(!w.IsConfirmed(time.Now().Add(maxPropagationTime + time.Second)))
 	old, err := s.Version(ctx, 1)
 	is.NoErr(err)
 	w.update(old, time.Now()) // a delayed answer with an older version
--- a/service/confwatch/watcher.go
+++ b/service/confwatch/watcher.go
@@ -27,24 +27,24 @@
 type Watcher struct {
 	store           *Store
 	log             zerolog.Logger
-	current         atomic.Pointer[config.Compiled]
+	current         atomic.Pointer[config.CompiledDocument]
 	lastConfirmed   atomic.Int64
-	apply           func(*config.Compiled)
+	apply           func(*config.CompiledDocument)
 	reportReachable func(bool)
 }
 
 // NewWatcher returns a watcher without a version. apply is called with each newer version, and
 // reachable after each poll with whether the table service answered, both from Run's goroutine.
-func NewWatcher(store *Store, log zerolog.Logger, apply func(*config.Compiled), reachable func(bool)) *Watcher {
+func NewWatcher(store *Store, log zerolog.Logger, apply func(*config.CompiledDocument), reachable func(bool)) *Watcher {
 	return &Watcher{store: store, log: log, apply: apply, reportReachable: reachable}
 }
 
 // Current returns the version in force here, or nil if none was read yet. A process without a
 // version refuses all work.
-func (w *Watcher) Current() *config.Compiled { return w.current.Load() }
+func (w *Watcher) Current() *config.CompiledDocument { return w.current.Load() }
 
-// Fresh reports whether the version was confirmed within maxPropagationTime before now.
-func (w *Watcher) Fresh(now time.Time) bool {
+// IsConfirmed reports whether the version was confirmed within maxPropagationTime before now.
+func (w *Watcher) IsConfirmed(now time.Time) bool {
 	return now.Sub(time.Unix(0, w.lastConfirmed.Load())) <= maxPropagationTime
 }
 
--- a/service/entry/admin.go
+++ b/service/entry/admin.go
@@ -105,7 +105,7 @@
 	_, err := config.Parse(body)
 	var problems settings.Problems
 	if errors.As(err, &problems) {
-		return nil, problems.Kind()
+		return nil, problems.AsInvalidRequest()
 	}
 	if err != nil {
 		return nil, errkind.New(errkind.InvalidRequest, err.Error())
@@ -212,7 +212,7 @@
 		return "down"
 	case a.Leaving:
 		return "leaving"
-	case a.Ejected():
+	case a.IsEjected():
 		return "ejected"
 	}
 	return "up"
@@ -241,7 +241,7 @@
 		view := InstanceView{Entry: entry.ID, Address: entry.Address, Config: versions[entry.ID], Fresh: true}
 		if entry.ID == e.self.ID {
 			view.Config = e.configVersion()
-			view.Fresh = e.watcher.Fresh(time.Now())
+			view.Fresh = e.watcher.IsConfirmed(time.Now())
 		}
 		list = append(list, view)
 	}
@@ -299,23 +299,23 @@
 		status, state = fasthttp.StatusServiceUnavailable, "draining"
 	case e.watcher.Current() == nil:
 		status, state = fasthttp.StatusServiceUnavailable, "no configuration"
-	case !e.watcher.Fresh(time.Now()):
+	case !e.watcher.IsConfirmed(time.Now()):
 		state = "configuration not confirmed: repeatable calls only"
 	}
 	writeJSON(ctx, status, map[string]string{"state": state})
 }
 
-// Linked returns the number of agents with an open link.
-func (e *Entry) Linked() int { return e.links.openLinks() }
+// LinkedAgents returns the number of agents with an open link.
+func (e *Entry) LinkedAgents() int { return e.links.openLinks() }
 
-// Configured reports whether this entry has read a configuration.
-func (e *Entry) Configured() bool { return e.watcher.Current() != nil }
+// IsConfigured reports whether this entry has read a configuration.
+func (e *Entry) IsConfigured() bool { return e.watcher.Current() != nil }
 
 // ConfigVersion returns the configuration version in force here; 0 if none.
 func (e *Entry) ConfigVersion() uint64 { return e.configVersion() }
 
-// Usable returns the number of agents that are up and accept new work; 0 if the entry has stopped.
-func (e *Entry) Usable() int {
+// UsableAgents returns the number of agents that are up and accept new work; 0 if the entry has stopped.
+func (e *Entry) UsableAgents() int {
 	count := make(chan int, 1)
 	e.post(func(core *dispatch.Core, _ time.Time) {
 		n := 0
--- a/service/entry/api.go
+++ b/service/entry/api.go
@@ -178,7 +178,7 @@
 
 // devCaller returns the identity that a request claims without proof. Development mode accepts it
 // since it listens on loopback only.
-func devCaller(ctx *fasthttp.RequestCtx, conf *config.Compiled, roles []config.Role) (config.Identity, *errkind.Error) {
+func devCaller(ctx *fasthttp.RequestCtx, conf *config.CompiledDocument, roles []config.Role) (config.Identity, *errkind.Error) {
 	if roles[0] != config.RoleCaller {
 		return config.Identity{Role: config.RoleOperator, Name: devIdentity}, nil
 	}
--- a/service/entry/control.go
+++ b/service/entry/control.go
@@ -51,8 +51,8 @@
 func (e *Entry) runControl(ctx context.Context) error {
 	c := &controlLoop{entry: e, log: e.deps.Logs.For(logs.Members)}
 	for ctx.Err() == nil {
-		c.runIfDue(ctx, &c.nextRenew, members.RenewEvery, c.renew, "members: own row not renewed")
-		c.runIfDue(ctx, &c.nextReadPeers, members.LookEvery, c.readPeers, "members: rows of entries not read")
+		c.runIfDue(ctx, &c.nextRenew, members.RenewInterval, c.renew, "members: own row not renewed")
+		c.runIfDue(ctx, &c.nextReadPeers, members.ReadInterval, c.readPeers, "members: rows of entries not read")
 		c.runIfDue(ctx, &c.nextSweep, sweepInterval, c.sweep, "members: submissions of lost entries not resumed")
 		c.runIfDue(ctx, &c.nextExpire, expireInterval, c.deleteExpired, "members: expired claims not deleted")
 		sleep(ctx, controlInterval)
@@ -102,18 +102,18 @@
 // the agents, the claim store and the core.
 func (c *controlLoop) readPeers(ctx context.Context) error {
 	e := c.entry
-	if err := e.registry.Look(ctx, time.Now()); err != nil {
+	if err := e.registry.ReadRows(ctx, time.Now()); err != nil {
 		return err
 	}
 	now := time.Now()
-	live := e.registry.Live(now)
-	versions := e.registry.Versions(now)
+	live := e.registry.LiveEntries(now)
+	versions := e.registry.ConfigVersions(now)
 	e.configVersions.Store(&versions)
 	before := *e.liveEntries.Load()
 	e.liveEntries.Store(&live)
 	if !sameEntries(before, live) {
 		e.links.broadcast(&wire.ToAgent{Entries: live})
-		e.claims.SetShares(len(live))
+		e.claims.SetLiveEntries(len(live))
 		names := make([]string, len(live))
 		for i := range live {
 			names[i] = live[i].ID
@@ -149,7 +149,7 @@
 
 // sweep resumes the submissions of lost entries and of previous incarnations of this entry.
 func (c *controlLoop) sweep(ctx context.Context) error {
-	for _, owner := range c.entry.registry.Lost(time.Now()) {
+	for _, owner := range c.entry.registry.LostEntries(time.Now()) {
 		if !c.isResponsible(owner.ID) {
 			continue
 		}
@@ -195,7 +195,7 @@
 // index rows. It returns the number of claims read that the incarnation still owns.
 func (c *controlLoop) sweepOwner(ctx context.Context, owner wire.EntryInfo) (int, error) {
 	e := c.entry
-	submissions, err := e.claims.Owned(ctx, owner, sweepBatch)
+	submissions, err := e.claims.ListOwned(ctx, owner, sweepBatch)
 	if err != nil {
 		return 0, err
 	}
@@ -212,7 +212,7 @@
 		c.resume(row, version)
 	}
 	if len(stale) > 0 {
-		if err := e.claims.Forget(ctx, owner, stale); err != nil {
+		if err := e.claims.DeleteIndexRows(ctx, owner, stale); err != nil {
 			return len(submissions), err
 		}
 	}
@@ -239,7 +239,7 @@
 	if conf == nil || !c.isResponsible("retention") {
 		return nil
 	}
-	n, err := e.claims.Expire(ctx, time.Now().Add(-conf.Retention()), sweepBatch)
+	n, err := e.claims.DeleteExpired(ctx, time.Now().Add(-conf.Retention()), sweepBatch)
 	if n == sweepBatch {
 		c.nextExpire = time.Now() // a full batch: more may be due
 	}
--- a/service/entry/decode.go
+++ b/service/entry/decode.go
@@ -160,7 +160,7 @@
 }
 
 // resolveTasks resolves the tasks of a job against the configuration.
-func (e *Entry) resolveTasks(conf *config.Compiled, tasks []taskBody) ([]dispatch.TaskSpec, error) {
+func (e *Entry) resolveTasks(conf *config.CompiledDocument, tasks []taskBody) ([]dispatch.TaskSpec, error) {
 	specs := make([]dispatch.TaskSpec, len(tasks))
 	for i := range tasks {
 		spec, err := e.resolveTask(conf, fmt.Sprintf("tasks[%d].", i), &tasks[i])
@@ -174,7 +174,7 @@
 
 // resolveTask resolves one task against the configuration. path is the prefix of field names in
 // errors.
-func (e *Entry) resolveTask(conf *config.Compiled, path string, t *taskBody) (dispatch.TaskSpec, error) {
+func (e *Entry) resolveTask(conf *config.CompiledDocument, path string, t *taskBody) (dispatch.TaskSpec, error) {
 	if !conf.HasService(t.Service) {
 		return dispatch.TaskSpec{}, errkind.NewField(errkind.InvalidRequest, path+"service", fmt.Sprintf("unknown service %q", t.Service))
 	}
@@ -194,7 +194,7 @@
 
 // newRequest returns a team's request for resolved tasks. It is claimed in the table service only if
 // it has an idempotency key.
-func (e *Entry) newRequest(conf *config.Compiled, team, key string, digest uint64, deadline time.Duration, specs []dispatch.TaskSpec) *dispatch.Request {
+func (e *Entry) newRequest(conf *config.CompiledDocument, team, key string, digest uint64, deadline time.Duration, specs []dispatch.TaskSpec) *dispatch.Request {
 	r := &dispatch.Request{
 		ID: e.nextID(), Team: team, Weight: 1, Digest: digest, Tasks: specs, Deadline: deadline,
 	}
@@ -209,7 +209,7 @@
 		return r
 	}
 	r.Claimed = true
-	r.Submission = claim.Keyed(team, key)
+	r.Submission = claim.KeyedName(team, key)
 	return r
 }
 
@@ -230,7 +230,7 @@
 	if err != nil {
 		return nil
 	}
-	_, key := claim.TeamOf(row.Submission)
+	_, key := claim.SplitKeyed(row.Submission)
 	remaining := max(time.Until(row.Deadline), minResumeDeadline)
 	r := e.newRequest(conf, stored.Team, key, digest, remaining, specs)
 	r.Stored = row.Request
--- a/service/entry/entry.go
+++ b/service/entry/entry.go
@@ -41,7 +41,7 @@
 type Deps struct {
 	Logs      *logs.Sink
 	Table     table.Table
-	Objects   table.Objects
+	Objects   table.ObjectStore
 	Workers   table.Workers // nil if the platform cannot wake workers or put them to sleep
 	Transport *transport.Transport
 	Metrics   metrics.Registry
@@ -62,7 +62,7 @@
 	routeLog zerolog.Logger
 
 	core   *dispatch.Core
-	events *eventloop.Ring[*dispatch.Core]
+	events *eventloop.Queue[*dispatch.Core]
 	// waiters are the channels of requests that wait for an outcome, by request ID. Only the event
 	// loop uses them.
 	waiters map[uint64]chan *wire.Outcome
@@ -135,7 +135,7 @@
 	e.links = newLinkManager(e)
 	e.claims = claimstore.New(e.claimSettings(), deps.Table, deps.Objects, e.handleWriteResults)
 	e.configStore = confwatch.NewStore(deps.Table)
-	e.watcher = confwatch.NewWatcher(e.configStore, deps.Logs.For(logs.Config), e.applyConfig, e.claims.Reachable)
+	e.watcher = confwatch.NewWatcher(e.configStore, deps.Logs.For(logs.Config), e.applyConfig, e.claims.ReportReachable)
 	e.registry = members.New(deps.Table, s.Region, e.self)
 	e.liveEntries.Store(&[]wire.EntryInfo{e.self})
 	e.configVersions.Store(&map[string]uint64{})
@@ -156,12 +156,12 @@
 
 // coreSettings derives the core's settings from the configuration in force; conf is nil if there is
 // none yet.
-func (e *Entry) coreSettings(conf *config.Compiled) dispatch.Settings {
+func (e *Entry) coreSettings(conf *config.CompiledDocument) dispatch.Settings {
 	s := dispatch.DefaultSettings()
 	s.MaxWaiting = e.settings.Limits.MaxWaiting
 	if conf != nil {
-		s.Weigh(conf.Document.Policy.ResponseWeight)
-		s.Rank.Drained = conf.Document.Drained
+		s.SetResponseWeight(conf.Document.Policy.ResponseWeight)
+		s.Rank.DrainedDataCentres = conf.Document.Drained
 	}
 	if e.deps.Policy != "" {
 		s.Rank.Policy = e.deps.Policy
@@ -173,7 +173,7 @@
 }
 
 // applyConfig puts a new configuration version in force in the core.
-func (e *Entry) applyConfig(conf *config.Compiled) {
+func (e *Entry) applyConfig(conf *config.CompiledDocument) {
 	e.post(func(core *dispatch.Core, _ time.Time) {
 		core.Configure(e.coreSettings(conf))
 		core.SetConfigVersion(conf.Version)
@@ -229,7 +229,7 @@
 // isIdle reports whether no submission, waiter or HTTP request is open.
 func (e *Entry) isIdle() bool {
 	idle := make(chan bool, 1)
-	e.post(func(core *dispatch.Core, _ time.Time) { idle <- core.Open() == 0 && len(e.waiters) == 0 })
+	e.post(func(core *dispatch.Core, _ time.Time) { idle <- core.OpenSubmissions() == 0 && len(e.waiters) == 0 })
 	select {
 	case is := <-idle:
 		return is && e.openRequests.Load() == 0
@@ -250,7 +250,7 @@
 	shutdown, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = e.httpServer.ShutdownWithContext(shutdown)
-	if err := e.registry.Leave(shutdown); err != nil {
+	if err := e.registry.RemoveOwnRow(shutdown); err != nil {
 		e.log.Warn().Err(err).Msg("entry: own row not removed")
 	}
 }
@@ -260,5 +260,5 @@
 
 // unkeyedName returns the name of a submission without an idempotency key.
 func (e *Entry) unkeyedName(id uint64) string {
-	return claim.Unkeyed(e.self.ID, strconv.FormatUint(e.self.Incarnation, 36)+"-"+strconv.FormatUint(id, 36))
+	return claim.UnkeyedName(e.self.ID, strconv.FormatUint(e.self.Incarnation, 36)+"-"+strconv.FormatUint(id, 36))
 }
--- a/service/entry/jobs.go
+++ b/service/entry/jobs.go
@@ -94,7 +94,7 @@
 // refuseIfUnconfirmed returns a refusal if the configuration may be outdated and the request is not
 // a call without a key whose tasks are all repeatable; else nil.
 func (e *Entry) refuseIfUnconfirmed(r *dispatch.Request) *wire.Outcome {
-	if e.watcher.Fresh(time.Now()) {
+	if e.watcher.IsConfirmed(time.Now()) {
 		return nil
 	}
 	repeatable := !r.Claimed
@@ -169,7 +169,7 @@
 		}
 		wait = parsed
 	}
-	outcome, err := e.findJob(claim.Keyed(identity.Name, key), wait, false)
+	outcome, err := e.findJob(claim.KeyedName(identity.Name, key), wait, false)
 	if err != nil {
 		writeError(ctx, err)
 		return
@@ -181,7 +181,7 @@
 // since the job may complete first.
 func (e *Entry) cancelJob(ctx *fasthttp.RequestCtx, identity config.Identity) {
 	key := ctx.UserValue("key").(string)
-	outcome, err := e.findJob(claim.Keyed(identity.Name, key), maxPeerWait, true)
+	outcome, err := e.findJob(claim.KeyedName(identity.Name, key), maxPeerWait, true)
 	if err != nil {
 		writeError(ctx, err)
 		return
--- a/service/entry/links.go
+++ b/service/entry/links.go
@@ -173,7 +173,7 @@
 	m.mu.Lock()
 	delete(m.connectors, id)
 	m.mu.Unlock()
-	m.entry.post(func(core *dispatch.Core, now time.Time) { core.AgentGone(now, id) })
+	m.entry.post(func(core *dispatch.Core, now time.Time) { core.AgentEnded(now, id) })
 }
 
 // isConnectionRefused reports whether nothing listens at the dialed address.
--- a/service/entry/loop.go
+++ b/service/entry/loop.go
@@ -26,8 +26,8 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case ev := <-e.events.Next():
-			e.events.Take(ev, e.core, time.Now())
+		case ev := <-e.events.Events():
+			e.events.HandleBatch(ev, e.core, time.Now())
 		case <-timer.C:
 		case now := <-ticker.C:
 			e.publishStats()
@@ -68,7 +68,7 @@
 			waiter <- answer.Outcome
 		}
 	}
-	if len(out.Writes) > 0 && !e.claims.Write(out.Writes) {
+	if len(out.Writes) > 0 && !e.claims.Enqueue(out.Writes) {
 		e.reportNotSent(out.Writes, now)
 		hasNewEvents = true
 	}
@@ -145,7 +145,7 @@
 	waiter := make(chan *wire.Outcome, 1)
 	known := make(chan bool, 1)
 	e.post(func(core *dispatch.Core, now time.Time) {
-		if !core.Watch(submission, id) {
+		if !core.AddWaiter(submission, id) {
 			known <- false
 			return
 		}
@@ -171,7 +171,7 @@
 	case <-timer.C:
 		e.post(func(core *dispatch.Core, _ time.Time) {
 			delete(e.waiters, id)
-			core.Unwatch(submission, id)
+			core.RemoveWaiter(submission, id)
 		})
 		return nil, true
 	case <-e.work.Done():
@@ -214,7 +214,7 @@
 
 // askOwner asks the owner of a submission for its outcome. The status is PeerRefused if the owner's
 // incarnation has certainly ended; the reply is nil unless the status is PeerAnswered.
-func (e *Entry) askOwner(ask dispatch.PeerAwait) (dispatch.PeerFate, *wire.AwaitReply) {
+func (e *Entry) askOwner(ask dispatch.PeerAwait) (dispatch.PeerStatus, *wire.AwaitReply) {
 	dialCtx, cancelDial := context.WithTimeout(e.work, dialTimeout)
 	defer cancelDial()
 	conn, err := e.deps.Transport.Dial(dialCtx, ask.Owner.Address)
@@ -222,7 +222,7 @@
 		if isConnectionRefused(err) {
 			return dispatch.PeerRefused, nil
 		}
-		return dispatch.PeerSilent, nil
+		return dispatch.PeerTimedOut, nil
 	}
 	defer func() { _ = conn.Close() }()
 	ctx, cancel := context.WithTimeout(e.work, ownerWait+dialTimeout)
@@ -232,7 +232,7 @@
 	})
 	switch {
 	case err != nil:
-		return dispatch.PeerSilent, nil
+		return dispatch.PeerTimedOut, nil
 	case reply.Incarnation != ask.Owner.Incarnation:
 		return dispatch.PeerRefused, nil
 	}
--- a/service/entry/metrics.go
+++ b/service/entry/metrics.go
@@ -12,8 +12,8 @@
 func (e *Entry) publishStats() {
 	stats := e.core.Stats()
 	e.stats.Store(&stats)
-	e.setGauge("core.open", int64(e.core.Open()))
-	e.setGauge("core.waiting", int64(e.core.Waiting()))
+	e.setGauge("core.open", int64(e.core.OpenSubmissions()))
+	e.setGauge("core.waiting", int64(e.core.WaitingTasks()))
 	e.setGauge("core.links", int64(e.links.openLinks()))
 	e.setGauge("core.events", int64(e.events.Len()))
 	e.setGauge("config.version", int64(e.configVersion()))
--- a/service/entry/page.go
+++ b/service/entry/page.go
@@ -33,7 +33,7 @@
 func (e *Entry) getPage(ctx *fasthttp.RequestCtx, _ config.Identity) {
 	data := pageData{
 		Entry: e.self.ID, At: time.Now().UTC().Format(time.RFC3339), Config: e.configVersion(),
-		Fresh: e.watcher.Fresh(time.Now()), Workers: e.listWorkers(), Instances: e.listInstances(),
+		Fresh: e.watcher.IsConfirmed(time.Now()), Workers: e.listWorkers(), Instances: e.listInstances(),
 		Teams: e.listTeams(), Refusals: e.refusals.byName(),
 	}
 	var page bytes.Buffer
--- a/service/entry/power.go
+++ b/service/entry/power.go
@@ -107,18 +107,18 @@
 	}
 	p.workers, p.listedAt = workers, now
 	var sleeping []table.Worker
-	var backends []dispatch.Asleep
+	var backends []dispatch.SleepingBackend
 	for _, w := range workers {
-		if w.Power == table.Awake {
+		if w.Power == table.PowerAwake {
 			continue
 		}
 		sleeping = append(sleeping, w)
 		for _, service := range w.Services {
-			backends = append(backends, dispatch.Asleep{Service: service, Labels: workerLabels(w, p.entry.settings.Region)})
+			backends = append(backends, dispatch.SleepingBackend{Service: service, Labels: workerLabels(w, p.entry.settings.Region)})
 		}
 	}
 	p.entry.sleepingWorkers.Store(&sleeping)
-	p.entry.post(func(core *dispatch.Core, _ time.Time) { core.SetInventory(backends) })
+	p.entry.post(func(core *dispatch.Core, _ time.Time) { core.SetSleepingBackends(backends) })
 }
 
 // workerLabels returns the labels that the worker's agents will announce.
@@ -149,10 +149,10 @@
 		agents := make(map[string]agentPower)
 		for _, a := range core.Pool().Agents() {
 			if !a.Down {
-				agents[a.Worker] = agentPower{agent: a.ID, load: max(a.Reported, a.InFlight), resting: a.Leaving}
+				agents[a.Worker] = agentPower{agent: a.ID, load: max(a.ReportedTasks, a.TasksInFlight), resting: a.Leaving}
 			}
 		}
-		answers <- answer{core.Demand(), agents}
+		answers <- answer{core.SlotDemand(), agents}
 	})
 	select {
 	case a := <-answers:
@@ -182,7 +182,7 @@
 		}
 		a, linked := agents[w.ID]
 		list = append(list, wake.Worker{
-			ID: w.ID, Power: effectivePower(w.Power, linked), Slots: w.Slots, Linked: linked, Resting: linked && a.resting, Load: a.load,
+			ID: w.ID, Power: effectivePower(w.Power, linked), Slots: w.Slots, IsLinked: linked, Resting: linked && a.resting, Load: a.load,
 		})
 	}
 	return list
@@ -194,7 +194,7 @@
 	switch {
 	case linked:
 		return wake.Awake
-	case state == table.Asleep:
+	case state == table.PowerAsleep:
 		return wake.Asleep
 	}
 	return wake.Waking
@@ -205,7 +205,7 @@
 	for _, id := range plan.Wake {
 		p.log.Info().Str("worker", id).Dur("wakeTime", p.decider.WakeTime()).Msg("power: worker woken")
 		p.changePower(ctx, id, p.entry.deps.Workers.Wake)
-		p.setPowerState(id, table.Waking)
+		p.setPowerState(id, table.PowerWaking)
 	}
 	for _, id := range plan.Rest {
 		p.log.Info().Str("worker", id).Msg("power: worker asked to rest")
--- a/service/eventloop/queue_test.go
+++ b/service/eventloop/queue_test.go
@@ -15,7 +15,7 @@
 		r.Post(func(list *[]int, _ time.Time) { *list = append(*list, n) })
 	}
 	var got []int
-	r.Take(<-r.Next(), &got, time.Time{})
+	r.HandleBatch(<-r.Events(), &got, time.Time{})
 	is.Equal(len(got), batch+1)
 	for i, n := range got {
 		is.Equal(i, n)
@@ -25,7 +25,7 @@
 func TestPostReturnsOnceTheLoopHasStopped(t *testing.T) {
 	is := is.New(t)
 	stopped := make(chan struct{})
-	r := New[int](1, Batch, stopped)
+	r := New[int](1, DefaultBatch, stopped)
 	is.True(r.TryPost(func(int, time.Time) {}))
 	is.True(!r.TryPost(func(int, time.Time) {})) // full
 	close(stopped)
--- a/service/explain/explain.go
+++ b/service/explain/explain.go
@@ -28,8 +28,8 @@
 	Fields map[string]any
 }
 
-// Story holds all log lines about a job, in the order of time.
-type Story struct {
+// Timeline holds all log lines about a job, in the order of time.
+type Timeline struct {
 	Lines []Line
 	// Unparsed counts lines that are too long, or mention the job but are not log lines of this
 	// software.
@@ -37,7 +37,7 @@
 }
 
 // Read adds the lines about a job from one log. source is the name of the log.
-func (s *Story) Read(source string, log io.Reader, job string) error {
+func (s *Timeline) Read(source string, log io.Reader, job string) error {
 	reader := bufio.NewReaderSize(log, maxLineBytes)
 	for {
 		raw, err := reader.ReadSlice('\n')
@@ -71,7 +71,7 @@
 
 // addLine decodes a line and adds it if it is about the job. Other software may have put a prefix
 // in front of the JSON, such as a time or a name; the line is decoded from its first brace on.
-func (s *Story) addLine(source string, raw []byte, job string) {
+func (s *Timeline) addLine(source string, raw []byte, job string) {
 	start := strings.IndexByte(string(raw), '{')
 	fields := make(map[string]any)
 	if start < 0 || json.Unmarshal(raw[start:], &fields) != nil {
@@ -102,7 +102,7 @@
 	return s
 }
 
-func (s *Story) sortByTime() {
+func (s *Timeline) sortByTime() {
 	sort.SliceStable(s.Lines, func(i, j int) bool { return s.Lines[i].At.Before(s.Lines[j].At) })
 }
 
@@ -110,7 +110,7 @@
 var endEvents = []string{"route: refuse", "route: give up", "route: caller gone", "route: done"}
 
 // End returns the line that explains how the job ended; ok is false if there is none.
-func (s *Story) End() (line Line, ok bool) {
+func (s *Timeline) End() (line Line, ok bool) {
 	for _, event := range endEvents {
 		for _, l := range s.Lines {
 			if l.Event == event {
@@ -122,7 +122,7 @@
 }
 
 // Causes counts the runs that did not complete, by outcome, reason and worker.
-func (s *Story) Causes() map[string]int {
+func (s *Timeline) Causes() map[string]int {
 	causes := make(map[string]int)
 	for _, l := range s.Lines {
 		if l.Event != "route: end" || l.Fields["how"] == "done" {
@@ -134,7 +134,7 @@
 }
 
 // Print writes all lines, each with the time since the previous one, and then how the job ended.
-func (s *Story) Print(w io.Writer) error {
+func (s *Timeline) Print(w io.Writer) error {
 	var previous time.Time
 	for _, l := range s.Lines {
 		since := time.Duration(0)
@@ -151,7 +151,7 @@
 }
 
 // printEnd writes how the job ended, why it was late, and which runs did not complete.
-func (s *Story) printEnd(w io.Writer) error {
+func (s *Timeline) printEnd(w io.Writer) error {
 	end, ok := s.End()
 	if !ok {
 		_, err := fmt.Fprintln(w, "the logs do not tell how it ended")
--- a/service/explain/explain_test.go
+++ b/service/explain/explain_test.go
@@ -19,7 +19,7 @@
 
 func TestReadMergesLogsInOrderOfTime(t *testing.T) {
 	is := is.New(t)
-	var s Story
+	var s Timeline
 	is.NoErr(s.Read("entry.log", strings.NewReader(entryLog), "00000000000000aa"))
 	is.NoErr(s.Read("agent.log", strings.NewReader(agentLog), "00000000000000aa"))
 	var events []string
@@ -39,7 +39,7 @@
 
 func TestLongLinesAreSkipped(t *testing.T) {
 	is := is.New(t)
-	var s Story
+	var s Timeline
 	log := strings.Repeat("x", 3*maxLineBytes) + "\n" + agentLog
 	is.NoErr(s.Read("a", strings.NewReader(log), "00000000000000aa"))
 	is.Equal(len(s.Lines), 1)
@@ -59,7 +59,7 @@
 
 func TestLateNamesCauseOfDelay(t *testing.T) {
 	is := is.New(t)
-	var s Story
+	var s Timeline
 	is.NoErr(s.Read("all", strings.NewReader(lateLogs), "j"))
 	late, ok := s.Late()
 	is.True(ok)
--- a/service/explain/late.go
+++ b/service/explain/late.go
@@ -20,7 +20,7 @@
 
 // Late returns the task that ended last; ok is false if the logs lack its start at the entry or its
 // end at the agent.
-func (s *Story) Late() (late LastTask, ok bool) {
+func (s *Timeline) Late() (late LastTask, ok bool) {
 	end := s.lastLine("route: end", "", nil)
 	if end == nil {
 		return late, false
@@ -44,7 +44,7 @@
 // lastLine returns the last line of an event. If given, task limits it to the lines of a task,
 // and before to lines that are not later than another one. An end of a run counts only if the run
 // was done.
-func (s *Story) lastLine(event, task string, before *Line) *Line {
+func (s *Timeline) lastLine(event, task string, before *Line) *Line {
 	for i := len(s.Lines) - 1; i >= 0; i-- {
 		l := &s.Lines[i]
 		switch {
--- a/service/lifecycle/lifecycle.go
+++ b/service/lifecycle/lifecycle.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Duty is a routine that one goroutine of a process runs until its context ends.
-type Duty func(ctx context.Context) error
+// Routine is a routine that one goroutine of a process runs until its context ends.
+type Routine func(ctx context.Context) error
 
 // Process describes a process to Run.
 type Process struct {
@@ -24,7 +24,7 @@
 
 // Run runs the routines until ctx ends or one of them fails. When ctx ends, it drains the process
 // before it stops the routines. It returns the first error of a routine.
-func Run(ctx context.Context, p Process, routines ...Duty) error {
+func Run(ctx context.Context, p Process, routines ...Routine) error {
 	defer p.Abort()
 	group, work := errgroup.WithContext(p.Work)
 	for _, routine := range routines {
--- a/service/members/members.go
+++ b/service/members/members.go
@@ -25,10 +25,10 @@
 
 // Intervals and timeouts of membership.
 const (
-	// RenewEvery is the period of renewals of the own row.
-	RenewEvery = 3 * time.Second
-	// LookEvery is the period of reads of the rows of all entries.
-	LookEvery = 3 * time.Second
+	// RenewInterval is the period of renewals of the own row.
+	RenewInterval = 3 * time.Second
+	// ReadInterval is the period of reads of the rows of all entries.
+	ReadInterval = 3 * time.Second
 	// deadTimeout is the time for which a row may stay unchanged before its entry counts as lost.
 	deadTimeout = 12 * time.Second
 )
@@ -134,8 +134,8 @@
 	return data
 }
 
-// Look reads the rows of all entries of the region.
-func (r *Registry) Look(ctx context.Context, now time.Time) error {
+// ReadRows reads the rows of all entries of the region.
+func (r *Registry) ReadRows(ctx context.Context, now time.Time) error {
 	rows, err := r.table.List(ctx, Prefix(r.region), "", MaxEntries)
 	if err != nil {
 		return eris.Wrap(err, "list entries")
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// Live returns the live entries of the region, the own first and the others by ID.
-func (r *Registry) Live(now time.Time) []wire.EntryInfo {
+// LiveEntries returns the live entries of the region, the own first and the others by ID.
+func (r *Registry) LiveEntries(now time.Time) []wire.EntryInfo {
 	var list []wire.EntryInfo
 	for _, peer := range r.peers {
 		if !peer.row.Dead && now.Sub(peer.unchangedSince) <= deadTimeout {
@@ -172,8 +172,8 @@
 	return append([]wire.EntryInfo{r.self}, list...)
 }
 
-// Versions returns the configuration version in force at each live entry but the own, by ID.
-func (r *Registry) Versions(now time.Time) map[string]uint64 {
+// ConfigVersions returns the configuration version in force at each live entry but the own, by ID.
+func (r *Registry) ConfigVersions(now time.Time) map[string]uint64 {
 	versions := make(map[string]uint64)
 	for id, peer := range r.peers {
 		if !peer.row.Dead && now.Sub(peer.unchangedSince) <= deadTimeout {
@@ -183,8 +183,8 @@
 	return versions
 }
 
-// Lost returns the entries whose rows are marked dead or unchanged for longer than deadTimeout, by ID.
-func (r *Registry) Lost(now time.Time) []wire.EntryInfo {
+// LostEntries returns the entries whose rows are marked dead or unchanged for longer than deadTimeout, by ID.
+func (r *Registry) LostEntries(now time.Time) []wire.EntryInfo {
 	var list []wire.EntryInfo
 	for _, peer := range r.peers {
 		if peer.row.Dead || now.Sub(peer.unchangedSince) > deadTimeout {
@@ -227,8 +227,8 @@
 	return eris.Wrap(err, "remove dead entry")
 }
 
-// Leave deletes the own row at the end of a drain.
-func (r *Registry) Leave(ctx context.Context) error {
+// RemoveOwnRow deletes the own row at the end of a drain.
+func (r *Registry) RemoveOwnRow(ctx context.Context) error {
 	_, err := r.table.Commit(ctx, []table.Op{{Key: r.key(r.self.ID), Delete: true, IfVersion: r.version}})
 	return eris.Wrap(err, "leave")
 }
--- a/service/members/members_test.go
+++ b/service/members/members_test.go
@@ -25,11 +25,11 @@
 	loseNextAnswer bool
 }
 
-func (t *lossyTable) Commit(ctx context.Context, ops []table.Op) (table.Commit, error) {
+func (t *lossyTable) Commit(ctx context.Context, ops []table.Op) (table.CommitResult, error) {
 	result, err := t.Table.Commit(ctx, ops)
 	if t.loseNextAnswer {
 		t.loseNextAnswer = false
-		return table.Commit{}, errors.New("answer lost")
+		return table.CommitResult{}, errors.New("answer lost")
 	}
 	return result, err
 }
@@ -64,23 +64,23 @@
 	a, b := New(shared, "region", entry("a", 1)), New(shared, "region", entry("b", 1))
 	_, err := a.Renew(ctx, start, 1)
 	is.NoErr(err)
-	is.NoErr(b.Look(ctx, start))
-	is.Equal(len(b.Live(start)), 2)
+	is.NoErr(b.ReadRows(ctx, start))
+	is.Equal(len(b.LiveEntries(start)), 2)
 	later := start.Add(deadTimeout + time.Second)
-	is.Equal(b.Lost(later), []wire.EntryInfo{entry("a", 1)})
+	is.Equal(b.LostEntries(later), []wire.EntryInfo{entry("a", 1)})
 	_, err = a.Renew(ctx, later, 1) // the entry is alive but slow
 	is.NoErr(err)
 	dead, err := b.MarkDead(ctx, "a")
 	is.NoErr(err)
 	is.True(!dead)
-	is.NoErr(b.Look(ctx, later))
-	is.Equal(len(b.Lost(later)), 0)
+	is.NoErr(b.ReadRows(ctx, later))
+	is.Equal(len(b.LostEntries(later)), 0)
 	dead, err = b.MarkDead(ctx, "a")
 	is.NoErr(err)
 	is.True(dead)
 	_, err = a.Renew(ctx, later, 1) // an entry that was marked dead while alive renews
 	is.NoErr(err)
 	is.NoErr(b.Remove(ctx, "a")) // no effect, since the row has changed
-	is.NoErr(b.Look(ctx, later))
-	is.Equal(len(b.Live(later)), 2)
+	is.NoErr(b.ReadRows(ctx, later))
+	is.Equal(len(b.LiveEntries(later)), 2)
 }
--- a/service/runner/agent.go
+++ b/service/runner/agent.go
@@ -33,7 +33,7 @@
 	Order(core.Order) core.Answer
 	// Poll renews the lease and lists the running and the ended runs. The worker holds its
 	// answer back until a run ends, at most for Look.Wait.
-	Poll(core.Look) (core.Answer, core.Listing)
+	Poll(core.Poll) (core.Answer, core.Listing)
 }
 
 // Registry is the part of the platform's store that an agent uses.
@@ -46,7 +46,7 @@
 	// LoadWorker returns the stored announcement; its ID is empty if there is none.
 	LoadWorker(ctx context.Context, agent string) (runs.Worker, error)
 	// Drains reads which data centres the operator has drained.
-	Drains(ctx context.Context) (runs.Drains, error)
+	Drains(ctx context.Context) (runs.DrainView, error)
 }
 
 // Deps are the dependencies of an Agent.
@@ -99,7 +99,7 @@
 	log         zerolog.Logger
 	logBudget   *logs.Budget
 	core        *core.Core
-	events      *eventloop.Ring[*core.Core]
+	events      *eventloop.Queue[*core.Core]
 	startOrders chan core.Order
 	stopOrders  chan core.Order
 	pollDue     chan struct{}
@@ -123,7 +123,7 @@
 		links: make(map[core.LinkID]*link), traffic: telemetry.NewTraffic("entries", deps.Metrics),
 	}
 	a.workCtx, a.cancelWork = context.WithCancel(context.Background())
-	a.events = eventloop.New[*core.Core](eventQueueSize, eventloop.Batch, a.workCtx.Done())
+	a.events = eventloop.New[*core.Core](eventQueueSize, eventloop.DefaultBatch, a.workCtx.Done())
 	a.directory = newDirectory(a)
 	return a
 }
@@ -131,7 +131,7 @@
 // Run serves until ctx ends, then drains: it waits for runs to end, at most DrainTimeout.
 func (a *Agent) Run(ctx context.Context) error {
 	a.log.Info().Str("agent", a.settings.Name).Strs("seeds", a.settings.Seeds).Msg("agent: started")
-	routines := []lifecycle.Duty{a.runEventLoop, a.pollWorker, a.directory.run, a.loadWorker, a.confirmDrains, a.orderSender(a.stopOrders)}
+	routines := []lifecycle.Routine{a.runEventLoop, a.pollWorker, a.directory.run, a.loadWorker, a.confirmDrains, a.orderSender(a.stopOrders)}
 	for range startSenders {
 		routines = append(routines, a.orderSender(a.startOrders))
 	}
@@ -155,7 +155,7 @@
 // isIdle asks the event loop whether there are no runs.
 func (a *Agent) isIdle() bool {
 	idle := make(chan bool, 1)
-	a.post(func(c *core.Core, _ time.Time) { idle <- c.Idle() })
+	a.post(func(c *core.Core, _ time.Time) { idle <- c.IsIdle() })
 	select {
 	case isIdle := <-idle:
 		return isIdle
@@ -171,7 +171,7 @@
 		info.DataCentre = a.settings.DataCentre // the worker is in the same data centre as its agent
 	}
 	a.post(func(c *core.Core, now time.Time) {
-		if !c.Announced(now, info, clock) {
+		if !c.WorkerAnnounced(now, info, clock) {
 			a.log.Warn().Str("worker", info.ID).Int64("born", info.Born).Msg("agent: announcement of an incarnation that is over")
 		}
 	})
@@ -181,7 +181,7 @@
 // saveWorker stores a changed announcement in the registry, so that the next process of this agent
 // need not wait for an announcement.
 func (a *Agent) saveWorker(info runs.Worker) {
-	if info.Life() == a.savedWorker.Life() && info.Draining == a.savedWorker.Draining && info.Capacity == a.savedWorker.Capacity {
+	if info.Incarnation() == a.savedWorker.Incarnation() && info.Draining == a.savedWorker.Draining && info.Capacity == a.savedWorker.Capacity {
 		return
 	}
 	a.savedWorker = info
@@ -208,14 +208,14 @@
 		return nil
 	}
 	a.log.Info().Str("worker", info.ID).Msg("agent: worker recalled from the registry")
-	a.post(func(c *core.Core, now time.Time) { c.Recalled(now, info) })
+	a.post(func(c *core.Core, now time.Time) { c.WorkerLoaded(now, info) })
 	return nil
 }
 
 // WorkerLeft handles the worker's notice that its incarnation with the given ID is ending.
 func (a *Agent) WorkerLeft(id string) {
 	a.log.Info().Str("worker", id).Msg("agent: worker left")
-	a.post(func(c *core.Core, now time.Time) { c.Left(now, id) })
+	a.post(func(c *core.Core, now time.Time) { c.WorkerLeft(now, id) })
 }
 
 // post queues an event for the event loop. It waits while the queue is full and does nothing once
@@ -231,14 +231,14 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case e := <-a.events.Next():
+		case e := <-a.events.Events():
 			now := boottime.Now()
 			a.core.Tick(now) // leases expire before the event is handled, even after a suspension of the process
-			a.events.Take(e, a.core, now)
+			a.events.HandleBatch(e, a.core, now)
 		case <-timer.C:
 			a.core.Tick(boottime.Now())
 			a.publishMetrics()
-			a.directory.setEndsDelivered(!a.core.Unsettled())
+			a.directory.setEndsDelivered(!a.core.HasUndeliveredEnds())
 		}
 		a.execute(a.core.Flush(boottime.Now()))
 		a.publishDrains(boottime.Now())
@@ -250,7 +250,7 @@
 
 // tickInterval returns the time until the next tick.
 func (a *Agent) tickInterval() time.Duration {
-	if a.core.Idle() && !a.core.HasNews() {
+	if a.core.IsIdle() && !a.core.HasUnsentLoad() {
 		return idleTickInterval
 	}
 	return busyTickInterval
@@ -259,7 +259,7 @@
 // updateBusyLinks sets which links have runs, and are closed after the shorter silence.
 func (a *Agent) updateBusyLinks() {
 	for id, l := range a.links {
-		busy := a.core.Owes(id)
+		busy := a.core.EntryHasRuns(id)
 		if busy && !l.busy.Load() {
 			l.lastReceived.Store(time.Now().UnixNano()) // the entry sent only rare messages while the link was idle
 		}
@@ -279,7 +279,7 @@
 		default:
 			// The order is never sent, so the worker certainly does not execute it.
 			a.log.Warn().Str("task", o.Key.Task).Msg("agent: too many orders wait, one dropped")
-			a.reportAnswer(o, core.Answer{Verdict: core.RefusedOther})
+			a.reportAnswer(o, core.Answer{Status: core.RefusedOther})
 		}
 	}
 	for _, s := range out.Sends {
@@ -287,13 +287,13 @@
 			l.enqueue(s.Msg)
 		}
 	}
-	for _, id := range out.Closes {
+	for _, id := range out.CloseLinks {
 		if l := a.links[id]; l != nil {
 			l.stop()
 		}
 	}
-	for i := range out.Notes {
-		a.logDecision(&out.Notes[i])
+	for i := range out.Decisions {
+		a.logDecision(&out.Decisions[i])
 	}
 }
 
@@ -302,8 +302,8 @@
 const logLinesPerSecond = 200
 
 // logDecision counts a decision of the core and logs it within the budget.
-func (a *Agent) logDecision(n *core.Note) {
-	telemetry.Count("decisions."+strings.ReplaceAll(n.Event, " ", "_"), a.deps.Metrics)
+func (a *Agent) logDecision(n *core.Decision) {
+	telemetry.IncCounter("decisions."+strings.ReplaceAll(n.Event, " ", "_"), a.deps.Metrics)
 	ok, leftOut := a.logBudget.Allow(n.Event, boottime.Now())
 	if !ok {
 		return
@@ -319,7 +319,7 @@
 		line.Uint64("version", n.Version)
 	}
 	if n.Worker.ID != "" {
-		line.Str("worker", n.Worker.ID).Int64("born", n.Worker.Born).Int64("former_born", n.Former.Born)
+		line.Str("worker", n.Worker.ID).Int64("born", n.Worker.Born).Int64("former_born", n.Previous.Born)
 	}
 	if n.Reason != runs.NoReason {
 		line.Stringer("reason", n.Reason)
@@ -332,23 +332,23 @@
 
 // publishMetrics updates the gauges and logs the traffic.
 func (a *Agent) publishMetrics() {
-	telemetry.Gauge("links", a.deps.Metrics, int64(len(a.links)))
-	telemetry.Gauge("runs", a.deps.Metrics, int64(a.core.Runs()))
-	telemetry.Gauge("logs.dropped", a.deps.Metrics, a.deps.Logs.Dropped())
+	telemetry.SetGauge("links", a.deps.Metrics, int64(len(a.links)))
+	telemetry.SetGauge("runs", a.deps.Metrics, int64(a.core.RunCount()))
+	telemetry.SetGauge("logs.dropped", a.deps.Metrics, a.deps.Logs.Dropped())
 	a.traffic.Log(boottime.Now(), a.log, "agent: traffic", len(a.links))
 }
 
 // reportAnswer posts the outcome of an order. The event loop itself calls it, so it must not wait
 // for space in the event queue.
 func (a *Agent) reportAnswer(o core.Order, answer core.Answer) {
-	report := func(c *core.Core, now time.Time) { c.Ordered(now, o, answer) }
+	report := func(c *core.Core, now time.Time) { c.OrderAnswered(now, o, answer) }
 	if !a.events.TryPost(report) {
 		go a.post(report)
 	}
 }
 
 // orderSender returns a routine that sends queued orders to the worker, one at a time.
-func (a *Agent) orderSender(orders <-chan core.Order) lifecycle.Duty {
+func (a *Agent) orderSender(orders <-chan core.Order) lifecycle.Routine {
 	return func(ctx context.Context) error {
 		for {
 			select {
@@ -356,7 +356,7 @@
 				return nil
 			case o := <-orders:
 				answer := a.deps.Worker.Order(o)
-				a.post(func(c *core.Core, now time.Time) { c.Ordered(now, o, answer) })
+				a.post(func(c *core.Core, now time.Time) { c.OrderAnswered(now, o, answer) })
 			}
 		}
 	}
--- a/service/runner/directory.go
+++ b/service/runner/directory.go
@@ -203,12 +203,12 @@
 func (d *directory) onDemandAddresses(wanted map[string]bool) map[string]bool {
 	var short []runs.Entry
 	for address, c := range d.contacts {
-		if c.entry.Short && !wanted[address] {
+		if c.entry.ShortOfAgents && !wanted[address] {
 			short = append(short, c.entry)
 		}
 	}
 	chosen := make(map[string]bool)
-	for _, e := range subset.OnDemand(d.agent.settings.Name, short) {
+	for _, e := range subset.ChooseOnDemand(d.agent.settings.Name, short) {
 		chosen[e.Address] = true
 	}
 	return chosen
@@ -245,7 +245,7 @@
 		} else {
 			core.Release(now, l.id)
 		}
-		core.OnDemand(now, l.id, onDemand)
+		core.SetOnDemand(now, l.id, onDemand)
 	})
 }
 
@@ -291,7 +291,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	unwanted := false
-	transport.Keep(ctx, func(ctx context.Context) bool {
+	transport.Maintain(ctx, func(ctx context.Context) bool {
 		if unwanted = !d.isWanted(c); unwanted {
 			stop()
 			return false
--- a/service/runner/directory_test.go
+++ b/service/runner/directory_test.go
@@ -67,15 +67,15 @@
 }
 
 // Gossip implements runs.Server.
-func (e *fakeEntry) Gossip(runs.GossipEnd) error { return nil }
+func (e *fakeEntry) Gossip(runs.GossipStream) error { return nil }
 
 // Link implements runs.Server.
-func (e *fakeEntry) Link(stream runs.EntryEnd) error {
+func (e *fakeEntry) Link(stream runs.EntryStream) error {
 	if _, err := stream.Recv(); err != nil {
 		return err
 	}
 	hello := e.self
-	hello.Short = e.short.Load()
+	hello.ShortOfAgents = e.short.Load()
 	if err := stream.Send(&runs.ToAgent{Hello: &hello, Entries: e.knownEntries}); err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 type fakeRegistry struct {
 	mu      sync.Mutex
 	entries []runs.Entry
-	drains  runs.Drains
+	drains  runs.DrainView
 	// drainsCalls counts the calls of Drains.
 	drainsCalls int
 }
@@ -128,7 +128,7 @@
 	return runs.Worker{}, nil
 }
 
-func (r *fakeRegistry) Drains(context.Context) (runs.Drains, error) {
+func (r *fakeRegistry) Drains(context.Context) (runs.DrainView, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.drainsCalls++
@@ -139,7 +139,7 @@
 type idleWorker struct{}
 
 func (idleWorker) Order(core.Order) core.Answer               { return core.Answer{} }
-func (idleWorker) Poll(core.Look) (core.Answer, core.Listing) { return core.Answer{}, core.Listing{} }
+func (idleWorker) Poll(core.Poll) (core.Answer, core.Listing) { return core.Answer{}, core.Listing{} }
 
 // startFleet starts n entries and an agent that finds them in the registry.
 func startFleet(t *testing.T, n int) (*Agent, []*fakeEntry) {
@@ -162,7 +162,7 @@
 // startAgent runs an agent until the end of the test.
 func startAgent(t *testing.T, registry Registry, seeds []string) *Agent {
 	t.Helper()
-	settings := core.Standard()
+	settings := core.DefaultSettings()
 	settings.Agent, settings.OwnerLease, settings.WorkerLease = "a", 400*time.Millisecond, 800*time.Millisecond
 	a := New(Settings{Name: "a", DataCentre: "d", Core: settings, Seeds: seeds}, Deps{
 		Logs: logs.Discard(), Transport: transport.New(nil), Worker: idleWorker{}, Registry: registry, Metrics: metrics.NewRegistry(),
@@ -215,9 +215,9 @@
 // is released once the entry is back.
 func TestAgentLinksToItsSubset(t *testing.T) {
 	is := is.New(t)
-	_, fleet := startFleet(t, subset.Total+6)
+	_, fleet := startFleet(t, subset.MaxLinks+6)
 	chosen := chosenEntries(fleet)
-	is.Equal(len(chosen), subset.Total)
+	is.Equal(len(chosen), subset.MaxLinks)
 	waitFor(t, "the chosen entries are not linked", func() bool { return equalSets(linked(fleet), chosen) })
 	before := countReleases(fleet) // includes those of the entries that the agent found first
 	var unreachable *fakeEntry
@@ -227,7 +227,7 @@
 		}
 	}
 	unreachable.stop()
-	waitFor(t, "no substitute is linked", func() bool { return len(linked(fleet)) == subset.Total && !equalSets(linked(fleet), chosen) })
+	waitFor(t, "no substitute is linked", func() bool { return len(linked(fleet)) == subset.MaxLinks && !equalSets(linked(fleet), chosen) })
 	unreachable.start()
 	waitFor(t, "the chosen entries are not linked again", func() bool { return equalSets(linked(fleet), chosen) })
 	is.Equal(countReleases(fleet)-before, int64(1))
@@ -269,7 +269,7 @@
 // not choose again, which costs CPU with hundreds of entries.
 func TestChoiceIsNotRepeatedWithoutChanges(t *testing.T) {
 	is := is.New(t)
-	a, fleet := startFleet(t, subset.Total+6)
+	a, fleet := startFleet(t, subset.MaxLinks+6)
 	waitFor(t, "the chosen entries are not linked", func() bool { return equalSets(linked(fleet), chosenEntries(fleet)) })
 	choices := func() int {
 		a.directory.mu.Lock()
@@ -285,7 +285,7 @@
 // TestAgentLinksToTheOnlyReachableEntry checks that an entry that was not chosen gets a link once
 // all other entries are unreachable.
 func TestAgentLinksToTheOnlyReachableEntry(t *testing.T) {
-	_, fleet := startFleet(t, subset.Total+6)
+	_, fleet := startFleet(t, subset.MaxLinks+6)
 	chosen := chosenEntries(fleet)
 	waitFor(t, "the chosen entries are not linked", func() bool { return equalSets(linked(fleet), chosen) })
 	var last *fakeEntry
@@ -303,7 +303,7 @@
 // if they have not chosen it, and only as long as it is short.
 func TestShortEntryIsLinkedOnDemand(t *testing.T) {
 	is := is.New(t)
-	a, fleet := startFleet(t, subset.Total+6)
+	a, fleet := startFleet(t, subset.MaxLinks+6)
 	waitFor(t, "the chosen entries are not linked", func() bool { return equalSets(linked(fleet), chosenEntries(fleet)) })
 	var other *fakeEntry
 	for _, e := range fleet {
@@ -313,10 +313,10 @@
 	}
 	other.short.Store(true)
 	short := other.self
-	short.Short = true
+	short.ShortOfAgents = true
 	a.directory.learn([]runs.Entry{short})
 	waitFor(t, "the short entry is not linked", func() bool { return other.links.Load() == 1 && other.onDemand.Load() })
-	is.Equal(len(linked(fleet)), subset.Total+1)
+	is.Equal(len(linked(fleet)), subset.MaxLinks+1)
 	other.short.Store(false)
 	a.directory.learn([]runs.Entry{other.self})
 	waitFor(t, "the link on demand is not closed", func() bool { return equalSets(linked(fleet), chosenEntries(fleet)) })
@@ -328,12 +328,12 @@
 func TestAgentLinksToAllEntriesWhileEndsAreUndelivered(t *testing.T) {
 	is := is.New(t)
 	a := New(Settings{Name: "a", DataCentre: "d"}, Deps{Logs: logs.Discard(), Metrics: metrics.NewRegistry()})
-	for i := range subset.Total + 6 {
+	for i := range subset.MaxLinks + 6 {
 		a.directory.learn([]runs.Entry{{Address: fmt.Sprint("e", i), Incarnation: uint64(i + 1), DataCentre: "d"}})
 	}
-	is.Equal(len(a.directory.wantedAddresses()), subset.Total)
+	is.Equal(len(a.directory.wantedAddresses()), subset.MaxLinks)
 	a.directory.setEndsDelivered(false)
-	is.Equal(len(a.directory.wantedAddresses()), subset.Total+6)
+	is.Equal(len(a.directory.wantedAddresses()), subset.MaxLinks+6)
 	a.directory.setEndsDelivered(true)
-	is.Equal(len(a.directory.wantedAddresses()), subset.Total)
+	is.Equal(len(a.directory.wantedAddresses()), subset.MaxLinks)
 }
--- a/service/runner/drains.go
+++ b/service/runner/drains.go
@@ -44,7 +44,7 @@
 		return
 	}
 	a.sharedDrains.drained.Store(&drained)
-	telemetry.Gauge("drained_data_centres", a.deps.Metrics, int64(len(drained)))
+	telemetry.SetGauge("drained_data_centres", a.deps.Metrics, int64(len(drained)))
 	a.directory.wakeChooser()
 }
 
@@ -75,6 +75,6 @@
 		}
 		failing = false
 		a.log.Info().Strs("drained", view.DataCentres).Uint64("version", view.Version).Msg("agent: the store tells the drained data centres")
-		a.post(func(c *core.Core, now time.Time) { c.LearnDrains(now, view) })
+		a.post(func(c *core.Core, now time.Time) { c.UpdateDrains(now, view) })
 	}
 }
--- a/service/runner/drains_test.go
+++ b/service/runner/drains_test.go
@@ -14,7 +14,7 @@
 	a, _ := startFleet(t, 1) // the entry sends no drain view
 	registry := a.deps.Registry.(*fakeRegistry)
 	registry.mu.Lock()
-	registry.drains = runs.Drains{Version: 3, DataCentres: []string{"d"}, Age: time.Millisecond}
+	registry.drains = runs.DrainView{Version: 3, DataCentres: []string{"d"}, Age: time.Millisecond}
 	registry.mu.Unlock()
 	waitFor(t, "the drain view of the store is not in use", func() bool { return len(a.sharedDrains.dataCentres()) == 1 })
 	registry.mu.Lock()
--- a/service/runner/link.go
+++ b/service/runner/link.go
@@ -75,7 +75,7 @@
 
 // handshake sends the agent's first message and returns the entry's, which contains its hello. The
 // agent identifies itself later, once the core knows the link.
-func (a *Agent) handshake(stream runs.AgentEnd, stop func()) (*runs.ToAgent, error) {
+func (a *Agent) handshake(stream runs.AgentStream, stop func()) (*runs.ToAgent, error) {
 	timer := time.AfterFunc(transport.DialTimeout, stop)
 	defer timer.Stop()
 	if err := stream.Send(&runs.ToEntry{}); err != nil {
@@ -94,7 +94,7 @@
 	a.post(func(c *core.Core, now time.Time) {
 		a.links[l.id] = l
 		if first.Drains != nil {
-			c.LearnDrains(now, *first.Drains)
+			c.UpdateDrains(now, *first.Drains)
 		}
 		c.LinkUp(now, l.id, entry)
 	})
@@ -114,7 +114,7 @@
 }
 
 // readLoop passes messages of the entry to the core until the link breaks.
-func (a *Agent) readLoop(l *link, stream runs.AgentEnd) {
+func (a *Agent) readLoop(l *link, stream runs.AgentStream) {
 	defer l.stop()
 	for {
 		msg, err := stream.Recv()
@@ -129,7 +129,7 @@
 }
 
 // writeLoop sends queued messages to the entry until the link breaks.
-func (a *Agent) writeLoop(ctx context.Context, l *link, stream runs.AgentEnd) {
+func (a *Agent) writeLoop(ctx context.Context, l *link, stream runs.AgentStream) {
 	defer l.stop()
 	for {
 		select {
--- a/service/runner/poll.go
+++ b/service/runner/poll.go
@@ -22,7 +22,7 @@
 
 // requestPoll wakes pollWorker if a poll is due.
 func (a *Agent) requestPoll() {
-	if !a.core.LookDue(boottime.Now()) {
+	if !a.core.IsPollDue(boottime.Now()) {
 		return
 	}
 	select {
@@ -64,30 +64,30 @@
 }
 
 // pollOnce makes one poll and posts the answer to the event loop.
-func (a *Agent) pollOnce(poll core.Look) {
+func (a *Agent) pollOnce(poll core.Poll) {
 	answer, listing := a.deps.Worker.Poll(poll)
-	a.post(func(c *core.Core, now time.Time) { c.Looked(now, poll, answer, listing) })
-	if answer.Verdict == core.NoAnswer {
+	a.post(func(c *core.Core, now time.Time) { c.PollAnswered(now, poll, answer, listing) })
+	if answer.Status == core.NoAnswer {
 		a.log.Warn().Str("worker", poll.Worker).Dur("wait", poll.Wait).Msg("agent: the worker does not answer")
 		time.Sleep(pollRetryDelay)
 	}
 }
 
 // nextPoll asks the core for the parameters of the next poll; ok is false if none is needed.
-func (a *Agent) nextPoll(ctx context.Context) (core.Look, bool) {
+func (a *Agent) nextPoll(ctx context.Context) (core.Poll, bool) {
 	type result struct {
-		poll core.Look
+		poll core.Poll
 		ok   bool
 	}
 	answer := make(chan result, 1)
 	a.post(func(c *core.Core, now time.Time) {
-		poll, ok := c.NextLook(now)
+		poll, ok := c.NextPoll(now)
 		answer <- result{poll, ok}
 	})
 	select {
 	case r := <-answer:
 		return r.poll, r.ok
 	case <-ctx.Done():
-		return core.Look{}, false
+		return core.Poll{}, false
 	}
 }
--- a/service/runner/search.go
+++ b/service/runner/search.go
@@ -69,8 +69,8 @@
 	d := s.directory
 	readCtx, cancel := context.WithTimeout(ctx, registryTimeout)
 	defer cancel()
-	position := registry.SearchPlace(d.agent.settings.Name, attempt)
-	rows, err := d.agent.deps.Registry.Entries(readCtx, position, registry.Few)
+	position := registry.SearchPosition(d.agent.settings.Name, attempt)
+	rows, err := d.agent.deps.Registry.Entries(readCtx, position, registry.AgentReadLimit)
 	if err != nil {
 		d.agent.log.Warn().Err(err).Msg("agent: the registry of entries does not answer")
 		return false
@@ -85,7 +85,7 @@
 
 // trySeed adds one seed to the directory. Successive attempts go through the seeds by their rank.
 func (s *search) trySeed(attempt int) {
-	seeds := subset.Ranked(s.directory.agent.settings.Name, s.directory.agent.settings.Seeds)
+	seeds := subset.RankAddresses(s.directory.agent.settings.Name, s.directory.agent.settings.Seeds)
 	if len(seeds) > 0 {
 		s.directory.learn([]runs.Entry{{Address: seeds[attempt%len(seeds)]}})
 	}
--- a/service/tableclient/client.go
+++ b/service/tableclient/client.go
@@ -59,14 +59,14 @@
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
 // Objects returns the object store of the same platform.
-func (c *Client) Objects() table.Objects { return objects{c} }
+func (c *Client) Objects() table.ObjectStore { return objects{c} }
 
 // Workers returns the power control of the same platform.
 func (c *Client) Workers() table.Workers { return workers{c} }
 
 // Commit implements table.Table.
-func (c *Client) Commit(ctx context.Context, ops []table.Op) (table.Commit, error) {
-	var result table.Commit
+func (c *Client) Commit(ctx context.Context, ops []table.Op) (table.CommitResult, error) {
+	var result table.CommitResult
 	body, err := json.Marshal(ops)
 	if err != nil {
 		return result, eris.Wrap(err, "encode commit")
@@ -144,7 +144,7 @@
 	return eris.Errorf("platform answered with status %d", status)
 }
 
-// objects implements table.Objects.
+// objects implements table.ObjectStore.
 type objects struct{ client *Client }
 
 func (o objects) Put(ctx context.Context, name string, data []byte) error {
--- a/service/telemetry/telemetry.go
+++ b/service/telemetry/telemetry.go
@@ -87,12 +87,12 @@
 	return metrics.GetOrRegisterHistogram(name, registry, metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 }
 
-// Count increments the registry's counter with the given name.
-func Count(name string, registry metrics.Registry) {
+// IncCounter increments the registry's counter with the given name.
+func IncCounter(name string, registry metrics.Registry) {
 	metrics.GetOrRegisterCounter(name, registry).Inc(1)
 }
 
-// Gauge sets the registry's gauge with the given name.
-func Gauge(name string, registry metrics.Registry, value int64) {
+// SetGauge sets the registry's gauge with the given name.
+func SetGauge(name string, registry metrics.Registry, value int64) {
 	metrics.GetOrRegisterGauge(name, registry).Update(value)
 }
--- a/service/telemetry/telemetry_test.go
+++ b/service/telemetry/telemetry_test.go
@@ -17,9 +17,9 @@
 func TestWriteSupportsAllMetricTypes(t *testing.T) {
 	is := is.New(t)
 	r := metrics.NewRegistry()
-	Count("jobs.admit", r)
-	Count("jobs.admit", r)
-	Gauge("workers", r, 11)
+	IncCounter("jobs.admit", r)
+	IncCounter("jobs.admit", r)
+	SetGauge("workers", r, 11)
 	Histogram("job ms", r).Update(7)
 	var b strings.Builder
 	Write(&b, r)
--- a/service/transport/maintain.go
+++ b/service/transport/maintain.go
@@ -17,10 +17,10 @@
 	unreachableTimeout = 10 * time.Second
 )
 
-// Keep maintains a connection to a peer. It calls serve repeatedly until ctx ends or the peer has
+// Maintain maintains a connection to a peer. It calls serve repeatedly until ctx ends or the peer has
 // been unreachable for unreachableTimeout. Each call of serve opens a connection, serves it until it
 // breaks, and reports whether it was open.
-func Keep(ctx context.Context, serve func(context.Context) bool) {
+func Maintain(ctx context.Context, serve func(context.Context) bool) {
 	pause := retryMin
 	lastUp := time.Now()
 	for ctx.Err() == nil && time.Since(lastUp) < unreachableTimeout {
--- a/wire/codec.go
+++ b/wire/codec.go
@@ -14,8 +14,8 @@
 	maxNesting       = 16
 )
 
-// Sum returns the xxh3 checksum that messages carry along with a payload.
-func Sum(payload []byte) uint64 { return xxh3.Hash(payload) }
+// Checksum returns the xxh3 checksum that messages carry along with a payload.
+func Checksum(payload []byte) uint64 { return xxh3.Hash(payload) }
 
 // Codec encodes messages as CBOR (RFC 8949). It implements drpc.Encoding.
 type Codec struct {
--- a/wire/codec_test.go
+++ b/wire/codec_test.go
@@ -10,7 +10,7 @@
 	is := is.New(t)
 	sent := &ToAgent{Starts: []*StartBatch{{
 		Submission: "c/association/scan-1", Epoch: 2, Remaining: 5,
-		Tasks: []TaskStart{{Index: 3, Attempt: 1, Kind: "tray-scan", Payload: []byte("pan"), Sum: Sum([]byte("pan"))}},
+		Tasks: []TaskStart{{Index: 3, Attempt: 1, Kind: "tray-scan", Payload: []byte("pan"), Checksum: Checksum([]byte("pan"))}},
 	}}}
 	data, err := Encoding.Marshal(sent)
 	is.NoErr(err)
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -86,8 +86,8 @@
 	// Kind is the operation that the backend server performs, such as "tray-scan".
 	Kind    string `cbor:"3,keyasint"`
 	Payload []byte `cbor:"4,keyasint"`
-	// Sum is the xxh3 checksum of Payload.
-	Sum uint64 `cbor:"5,keyasint"`
+	// Checksum is the xxh3 checksum of Payload.
+	Checksum uint64 `cbor:"5,keyasint"`
 	// MaxRun is the time after which the backend server aborts the attempt.
 	MaxRun time.Duration `cbor:"6,keyasint"`
 }
@@ -159,8 +159,8 @@
 	// NotRun guarantees that this incarnation of the agent never started the attempt.
 	NotRun  bool   `cbor:"6,keyasint"`
 	Payload []byte `cbor:"7,keyasint"`
-	// Sum is the xxh3 checksum of Payload.
-	Sum uint64 `cbor:"8,keyasint"`
+	// Checksum is the xxh3 checksum of Payload.
+	Checksum uint64 `cbor:"8,keyasint"`
 	// RunTime is the time spent in the backend server, Waited the time in the agent's queue.
 	RunTime time.Duration `cbor:"9,keyasint"`
 	Waited  time.Duration `cbor:"10,keyasint"`
@@ -173,8 +173,8 @@
 	Queued Phase = iota
 	Running
 	Done
-	// Lost means that the attempt started and that its result was dropped.
-	Lost
+	// ResultDropped means that the attempt started and that its result was dropped.
+	ResultDropped
 )
 
 // TaskState reports one attempt in answer to a Fence.
@@ -190,9 +190,9 @@
 	Submission string `cbor:"1,keyasint"`
 	// Epoch is the epoch of the Fence that is answered.
 	Epoch uint64 `cbor:"2,keyasint"`
-	// Highest is the highest epoch that the agent has seen. If it exceeds Epoch, another
+	// HighestEpoch is the highest epoch that the agent has seen. If it exceeds Epoch, another
 	// entry owns the submission.
-	Highest uint64 `cbor:"3,keyasint"`
+	HighestEpoch uint64 `cbor:"3,keyasint"`
 	// Tasks are the attempts that the agent knows. Unless Partial is set, the agent has
 	// received no others.
 	Tasks []TaskState `cbor:"4,keyasint"`
@@ -206,8 +206,8 @@
 type Load struct {
 	Running int `cbor:"1,keyasint"`
 	Queued  int `cbor:"2,keyasint"`
-	// Mine is the number of Running and Queued tasks that the receiving entry owns.
-	Mine int `cbor:"3,keyasint"`
+	// OwnedByReceiver is the number of Running and Queued tasks that the receiving entry owns.
+	OwnedByReceiver int `cbor:"3,keyasint"`
 }
 
 // ToEntry is one message from an agent to an entry.
@@ -217,8 +217,8 @@
 	Results []*Result    `cbor:"2,keyasint,omitempty"`
 	Fences  []FenceReply `cbor:"3,keyasint,omitempty"`
 	Load    Load         `cbor:"4,keyasint"`
-	// Leaving is true while the agent accepts no new work: it drains, or pauses after RestFor.
-	Leaving bool `cbor:"5,keyasint,omitempty"`
+	// NotAccepting is true while the agent accepts no new work: it drains, or pauses after RestFor.
+	NotAccepting bool `cbor:"5,keyasint,omitempty"`
 	// ConfigVersion is the newest configuration version that the agent knows.
 	ConfigVersion uint64 `cbor:"6,keyasint,omitempty"`
 }
@@ -267,7 +267,7 @@
 // Ran returns what is known about whether the submission was executed.
 func (o *Outcome) Ran() errkind.Ran {
 	if o.Unchecked {
-		return errkind.Unknown
+		return errkind.MaybeRan
 	}
 	return errkind.Of(o.Kind).Ran
 }
--- a/wire/runs/messages.go
+++ b/wire/runs/messages.go
@@ -47,8 +47,8 @@
 	// Incarnation identifies one run of the process: a random number, never 0.
 	Incarnation uint64 `cbor:"2,keyasint"`
 	DataCentre  string `cbor:"3,keyasint"`
-	// Short is true while the entry has links to too few agents; all agents then link to it.
-	Short bool `cbor:"4,keyasint,omitempty"`
+	// ShortOfAgents is true while the entry has links to too few agents; all agents then link to it.
+	ShortOfAgents bool `cbor:"4,keyasint,omitempty"`
 }
 
 // Worker describes the worker beside an agent: one incarnation of a backend server. The registry
@@ -65,7 +65,7 @@
 	// Labels are the labels that a task may require, including the rack.
 	Labels []string `cbor:"5,keyasint"`
 	// Capacity is the total of the worker's resources, used and free.
-	Capacity room.Room `cbor:"6,keyasint"`
+	Capacity room.Resources `cbor:"6,keyasint"`
 	// Draining is true once the worker must get no new work.
 	Draining bool `cbor:"7,keyasint,omitempty"`
 	// Released is true while the agent gives the link up, because it works with other entries.
@@ -78,19 +78,19 @@
 	Born int64 `cbor:"10,keyasint,omitempty"`
 }
 
-// Life identifies one incarnation of a backend server. A restarted server may keep its ID, but it
+// Incarnation identifies one incarnation of a backend server. A restarted server may keep its ID, but it
 // has lost its runs and its leases.
-type Life struct {
+type Incarnation struct {
 	ID   string
 	Born int64
 }
 
-// Life returns the incarnation that w describes.
-func (w Worker) Life() Life { return Life{ID: w.ID, Born: w.Born} }
+// Incarnation returns the incarnation that w describes.
+func (w Worker) Incarnation() Incarnation { return Incarnation{ID: w.ID, Born: w.Born} }
 
-// Drains is a view of the data centres that the operator has drained. Their workers get no new
+// DrainView is a view of the data centres that the operator has drained. Their workers get no new
 // work.
-type Drains struct {
+type DrainView struct {
 	// Version is the version of the store at which the view was read; a view with a higher
 	// version is newer. 0 if nothing is known.
 	Version uint64 `cbor:"1,keyasint"`
@@ -106,74 +106,74 @@
 	// Spec is the caller's description of the work, passed to the worker as it is.
 	Spec string `cbor:"2,keyasint"`
 	// Need is the resources that the run occupies.
-	Need room.Room `cbor:"3,keyasint"`
+	Need room.Resources `cbor:"3,keyasint"`
 	// Estimate is the expected run time on a worker of ordinary speed.
 	Estimate time.Duration `cbor:"4,keyasint"`
 	// Slack is how long the run may wait for resources and still end in time. Waiting runs
 	// start in the order of their slack, the least first.
 	Slack time.Duration `cbor:"5,keyasint"`
-	// Patience is the time, counted from ToAgent.Clock, after which the run must not start.
-	Patience time.Duration `cbor:"6,keyasint"`
+	// StartTimeout is the time, counted from ToAgent.Clock, after which the run must not start.
+	StartTimeout time.Duration `cbor:"6,keyasint"`
 	// Checkpoint is the progress of an earlier run to resume from; empty if there is none.
 	Checkpoint string `cbor:"7,keyasint,omitempty"`
 	// Durable is true for runs of durable jobs, whose ends are kept until the entry has
 	// stored them.
 	Durable bool `cbor:"8,keyasint,omitempty"`
-	// Suspicion determines next to which other tasks the run may start.
-	Suspicion Suspicion `cbor:"9,keyasint,omitempty"`
+	// Isolation determines next to which other tasks the run may start.
+	Isolation Isolation `cbor:"9,keyasint,omitempty"`
 }
 
-// Suspicion is the level of isolation that a task gets on its worker because it may crash workers.
-type Suspicion uint8
+// Isolation is the level of isolation that a task gets on its worker because it may crash workers.
+type Isolation uint8
 
 // Levels of suspicion.
 const (
-	// Trusted tasks run next to any other task.
-	Trusted Suspicion = iota
-	// Apart tasks run next to no other suspected task, so that the next crash shows which
+	// IsolationNone tasks run next to any other task.
+	IsolationNone Isolation = iota
+	// IsolationFromSuspects tasks run next to no other suspected task, so that the next crash shows which
 	// of them is the cause.
-	Apart
-	// Alone tasks run next to no other task.
-	Alone
+	IsolationFromSuspects
+	// IsolationExclusive tasks run next to no other task.
+	IsolationExclusive
 )
 
 // Suspect is a task that may crash workers. Entries share suspects, since a caller that gets no
 // answer may resend its job to any entry.
 type Suspect struct {
 	Task string `cbor:"1,keyasint"`
-	// Lost is the number of workers that were lost while they ran the task, Blamed the number
+	// LostWorkers is the number of workers that were lost while they ran the task, Blamed the number
 	// of those crashes that are attributed to it.
-	Lost   int `cbor:"2,keyasint"`
-	Blamed int `cbor:"3,keyasint,omitempty"`
+	LostWorkers   int `cbor:"2,keyasint"`
+	BlamedCrashes int `cbor:"3,keyasint,omitempty"`
 }
 
-// Owned is a run that the sending entry owns and believes the agent to have.
-type Owned struct {
-	Key      Key           `cbor:"1,keyasint"`
-	Need     room.Room     `cbor:"2,keyasint"`
-	Estimate time.Duration `cbor:"3,keyasint"`
-	Durable  bool          `cbor:"4,keyasint,omitempty"`
+// OwnedRun is a run that the sending entry owns and believes the agent to have.
+type OwnedRun struct {
+	Key      Key            `cbor:"1,keyasint"`
+	Need     room.Resources `cbor:"2,keyasint"`
+	Estimate time.Duration  `cbor:"3,keyasint"`
+	Durable  bool           `cbor:"4,keyasint,omitempty"`
 }
 
-// How is the outcome of a run.
-type How uint8
+// Outcome is the outcome of a run.
+type Outcome uint8
 
 // Outcomes of a run.
 const (
-	// Done means that the task completed.
-	Done How = iota + 1
-	// Failed means that the run failed because of the task or its worker.
-	Failed
-	// Stopped means that the run began and was stopped, or that its lease expired.
-	Stopped
-	// Refused means that the run has not begun and never will.
-	Refused
-	// Gone means that the run is over and that nothing else is known about it.
-	Gone
+	// OutcomeDone means that the task completed.
+	OutcomeDone Outcome = iota + 1
+	// OutcomeFailed means that the run failed because of the task or its worker.
+	OutcomeFailed
+	// OutcomeStopped means that the run began and was stopped, or that its lease expired.
+	OutcomeStopped
+	// OutcomeRefused means that the run has not begun and never will.
+	OutcomeRefused
+	// OutcomeGone means that the run is over and that nothing else is known about it.
+	OutcomeGone
 )
 
 // String returns the name of h that appears in logs.
-func (h How) String() string {
+func (h Outcome) String() string {
 	names := [...]string{"unknown", "done", "failed", "stopped", "refused", "gone"}
 	if int(h) < len(names) {
 		return names[h]
@@ -193,30 +193,30 @@
 // Reasons.
 const (
 	NoReason Reason = iota
-	// NoRoom: the run exceeds the worker's capacity, or the agent's queue is full.
-	NoRoom
-	// Late: the order arrived, or its turn in the queue came, after Start.Patience.
-	Late
-	// NoLease: the agent holds no lease of the entry.
-	NoLease
-	// Draining: the worker or its agent is shutting down, or the link is being closed.
-	Draining
-	// NoWorker: the worker is not known yet, has ended, or is unreachable.
-	NoWorker
-	// Unhealthy: the worker refused the order.
-	Unhealthy
-	// OldRun: the worker has seen this or a higher run of the task.
-	OldRun
-	// Asked: the entry requested the stop.
-	Asked
-	// Unanswered: the worker did not answer the order, which was then withdrawn.
-	Unanswered
-	// Drained: the operator has drained the worker's data centre.
-	Drained
-	// Crashed: the worker ended without notice while it had the run.
-	Crashed
-	// Lapsed: the worker was unreachable until its lease had expired.
-	Lapsed
+	// ReasonNoCapacity: the run exceeds the worker's capacity, or the agent's queue is full.
+	ReasonNoCapacity
+	// ReasonStartTimeout: the order arrived, or its turn in the queue came, after Start.StartTimeout.
+	ReasonStartTimeout
+	// ReasonNoLease: the agent holds no lease of the entry.
+	ReasonNoLease
+	// ReasonDraining: the worker or its agent is shutting down, or the link is being closed.
+	ReasonDraining
+	// ReasonNoWorker: the worker is not known yet, has ended, or is unreachable.
+	ReasonNoWorker
+	// ReasonUnhealthy: the worker refused the order.
+	ReasonUnhealthy
+	// ReasonStaleRun: the worker has seen this or a higher run of the task.
+	ReasonStaleRun
+	// ReasonStopRequested: the entry requested the stop.
+	ReasonStopRequested
+	// ReasonNoAnswer: the worker did not answer the order, which was then withdrawn.
+	ReasonNoAnswer
+	// ReasonDataCentreDrained: the operator has drained the worker's data centre.
+	ReasonDataCentreDrained
+	// ReasonWorkerCrashed: the worker ended without notice while it had the run.
+	ReasonWorkerCrashed
+	// ReasonLeaseExpired: the worker was unreachable until its lease had expired.
+	ReasonLeaseExpired
 )
 
 // String returns the name of r that appears in logs.
@@ -231,21 +231,21 @@
 // End is the final report on one run. It guarantees that the run is not running and will not
 // run later.
 type End struct {
-	Key    Key    `cbor:"1,keyasint"`
-	How    How    `cbor:"2,keyasint"`
-	Reason Reason `cbor:"3,keyasint,omitempty"`
+	Key     Key     `cbor:"1,keyasint"`
+	Outcome Outcome `cbor:"2,keyasint"`
+	Reason  Reason  `cbor:"3,keyasint,omitempty"`
 	// Ran is the run time at the worker.
 	Ran time.Duration `cbor:"4,keyasint,omitempty"`
 	// Checkpoint is the progress that a later run may resume from.
 	Checkpoint string `cbor:"5,keyasint,omitempty"`
-	// Held is true if the agent keeps the end until the entry reports it as stored.
-	Held bool `cbor:"6,keyasint,omitempty"`
+	// NeedsAck is true if the agent keeps the end until the entry reports it as stored.
+	NeedsAck bool `cbor:"6,keyasint,omitempty"`
 	// Suspect is true if the worker crashed and this run was the last to begin on it.
 	Suspect bool `cbor:"7,keyasint,omitempty"`
 }
 
-// Freeing is an expected end of a run, which frees CPU on the worker.
-type Freeing struct {
+// ExpectedEnd is an expected end of a run, which frees CPU on the worker.
+type ExpectedEnd struct {
 	// After is the time from the sending of the load to the end, in ms.
 	After int `cbor:"1,keyasint"`
 	// CPU is what becomes free then, in thousandths of a core.
@@ -274,21 +274,21 @@
 // Load describes how busy a worker is at the time of sending.
 type Load struct {
 	// Free is the part of the capacity that no run occupies.
-	Free room.Room `cbor:"1,keyasint"`
+	Free room.Resources `cbor:"1,keyasint"`
 	// Waiting is the CPU that waiting runs need, in thousandths of a core, indexed by
 	// SlackBand; empty if no run waits.
 	Waiting []int `cbor:"6,keyasint,omitempty"`
-	// Freeings are the next expected ends of runs, soonest first.
-	Freeings []Freeing `cbor:"2,keyasint,omitempty"`
+	// ExpectedEnds are the next expected ends of runs, soonest first.
+	ExpectedEnds []ExpectedEnd `cbor:"2,keyasint,omitempty"`
 	// Slowness is the measured ratio of run times to their estimates, in hundredths; 0 if
 	// nothing has been measured.
 	Slowness int `cbor:"3,keyasint,omitempty"`
 	// FailStreak is the number of runs that have failed in a row.
 	FailStreak int `cbor:"4,keyasint,omitempty"`
-	// Seen is the number of starts on this link that the load includes.
-	Seen uint64 `cbor:"5,keyasint"`
-	// Sharers is the number of entries that the agent works with, the receiver included.
-	Sharers int `cbor:"7,keyasint,omitempty"`
+	// StartsSeen is the number of starts on this link that the load includes.
+	StartsSeen uint64 `cbor:"5,keyasint"`
+	// SharingEntries is the number of entries that the agent works with, the receiver included.
+	SharingEntries int `cbor:"7,keyasint,omitempty"`
 }
 
 // Progress reports on a run that waits, takes much longer than estimated, or has a new checkpoint.
@@ -313,9 +313,9 @@
 	// Clock is the agent's clock at the time of sending, in nanoseconds.
 	Clock    int64      `cbor:"4,keyasint"`
 	Progress []Progress `cbor:"5,keyasint,omitempty"`
-	// Unowned are ends that the agent keeps because they have not been stored for a while. An
+	// UnownedEnds are ends that the agent keeps because they have not been stored for a while. An
 	// entry answers those of its own jobs, and of jobs that are not durable or have ended.
-	Unowned []End `cbor:"7,keyasint,omitempty"`
+	UnownedEnds []End `cbor:"7,keyasint,omitempty"`
 }
 
 // ToAgent is one message from an entry to an agent.
@@ -323,30 +323,30 @@
 	// Hello identifies the entry; it is set on the first message.
 	Hello *Entry `cbor:"1,keyasint,omitempty"`
 	// Owned lists the runs that the entry believes the agent to have; it follows the hello.
-	Owned  []Owned `cbor:"2,keyasint,omitempty"`
-	Starts []Start `cbor:"3,keyasint,omitempty"`
+	Owned  []OwnedRun `cbor:"2,keyasint,omitempty"`
+	Starts []Start    `cbor:"3,keyasint,omitempty"`
 	// Stops are runs to end because their results are no longer needed.
 	Stops []Key `cbor:"4,keyasint,omitempty"`
 	// Moves are runs to end because the entry will start their tasks on another worker, once
 	// the agent has reported the end.
 	Moves []Key `cbor:"12,keyasint,omitempty"`
-	// Withdraws are runs to end if they are still waiting; a run that has begun goes on.
-	Withdraws []Key `cbor:"7,keyasint,omitempty"`
+	// WithdrawWaiting are runs to end if they are still waiting; a run that has begun goes on.
+	WithdrawWaiting []Key `cbor:"7,keyasint,omitempty"`
 	// Clock is the newest ToEntry.Clock plus the time since its arrival, in nanoseconds; 0
 	// before the first one has arrived. It renews the lease.
 	Clock int64 `cbor:"5,keyasint,omitempty"`
 	// Entries are all entries that are known to be alive.
 	Entries []Entry `cbor:"6,keyasint,omitempty"`
-	// Noted are runs whose ends have been stored or need not be stored; the agent may drop
+	// AckedEnds are runs whose ends have been stored or need not be stored; the agent may drop
 	// the ends.
-	Noted []Key `cbor:"9,keyasint,omitempty"`
-	// Void are runs whose ends came too late. The entry assumed that the worker's lease had
+	AckedEnds []Key `cbor:"9,keyasint,omitempty"`
+	// VoidEnds are runs whose ends came too late. The entry assumed that the worker's lease had
 	// expired and started their tasks again, so that lease must expire before the agent may
 	// drop the ends.
-	Void []Key `cbor:"10,keyasint,omitempty"`
+	VoidEnds []Key `cbor:"10,keyasint,omitempty"`
 	// Drains is set on the first message, after each change, and from time to time to confirm
 	// that the view is still valid.
-	Drains *Drains `cbor:"11,keyasint,omitempty"`
+	Drains *DrainView `cbor:"11,keyasint,omitempty"`
 }
 
 // Member is a record about one entry in the view of the entries' membership.
@@ -371,15 +371,15 @@
 	Config     []byte `cbor:"4,keyasint,omitempty"`
 	ConfigFrom int    `cbor:"8,keyasint,omitempty"`
 	ConfigSize int    `cbor:"9,keyasint,omitempty"`
-	// Want asks for the chunk of the receiver's configuration that begins at byte WantFrom.
-	Want     bool `cbor:"5,keyasint,omitempty"`
-	WantFrom int  `cbor:"10,keyasint,omitempty"`
-	// Digest is a hash of the entries that the sender considers alive.
-	Digest uint64 `cbor:"6,keyasint"`
+	// WantConfig asks for the chunk of the receiver's configuration that begins at byte WantFrom.
+	WantConfig     bool `cbor:"5,keyasint,omitempty"`
+	WantConfigFrom int  `cbor:"10,keyasint,omitempty"`
+	// AliveDigest is a hash of the entries that the sender considers alive.
+	AliveDigest uint64 `cbor:"6,keyasint"`
 	// Closing is true if the sender closes the stream on purpose and stays alive.
 	Closing bool `cbor:"7,keyasint,omitempty"`
 	// Drains is the sender's view of the drained data centres.
-	Drains Drains `cbor:"11,keyasint"`
+	Drains DrainView `cbor:"11,keyasint"`
 	// Suspects are suspected tasks that the receiver may not know.
 	Suspects []Suspect `cbor:"12,keyasint,omitempty"`
 }
