--- a/core/batch/agents.go
+++ b/core/batch/agents.go
@@ -93,11 +93,11 @@
 	shortDelay = 3 * time.Second
 )
 
-// IsShortOfAgents reports whether so few agents work with this entry of their own choice that it has to ask
-// for all of them. In a deployment with many entries and few agents some entries would otherwise
-// have none, and their jobs would never run. The argument tells whether any other entry is in
-// contact with this one. An entry without such contact is cut off rather than short: its agents
-// come back by themselves.
+// IsShortOfAgents reports whether so few agents work with this entry of their own choice that it
+// has to ask for all of them. In a deployment with many entries and few agents some entries would
+// otherwise have none, and their jobs would never run. The argument tells whether any other entry
+// is in contact with this one. An entry without such contact is cut off rather than short: its
+// agents come back by themselves.
 func (c *Core) IsShortOfAgents(inContact bool) bool {
 	chosen := 0
 	for a := range c.agents.Values() {
@@ -224,20 +224,20 @@
 	if previous.Agent != "" && previous.ID == current.ID && previous.Draining == current.Draining && previous.Released == current.Released {
 		return
 	}
-	n := Decision{Event: "worker", Agent: current.Agent, Worker: current.ID, Reason: "usable"}
+	d := Decision{Event: "worker", Agent: current.Agent, Worker: current.ID, Reason: "usable"}
 	switch {
 	case current.ID == "" && previous.ID == "":
-		n.Reason = "none yet"
+		d.Reason = "none yet"
 	case current.ID == "":
-		n.Worker, n.Reason = previous.ID, "gone, out of reach or not looked at"
+		d.Worker, d.Reason = previous.ID, "gone, out of reach or not looked at"
 	case current.Released:
-		n.Reason = "works with other entries"
+		d.Reason = "works with other entries"
 	case current.Draining:
-		n.Reason = "draining"
+		d.Reason = "draining"
 	case previous.ID != "" && previous.ID != current.ID:
-		n.Reason = "usable, after another incarnation"
+		d.Reason = "usable, after another incarnation"
 	}
-	c.logDecision(n)
+	c.logDecision(d)
 }
 
 // expireLost ends the runs at lost agents whose leases have expired.
--- a/core/batch/backlog.go
+++ b/core/batch/backlog.go
@@ -83,8 +83,8 @@
 	noLongerUseful
 )
 
-// noLongerUsefulPeriod is the period, in scans, of the scans in which jobs that are no longer useful
-// count like those that meet their objective, so that they make progress under a lasting overload.
+// noLongerUsefulPeriod is the number of scans of which one treats jobs that are no longer useful
+// like those that meet their objective, so that they make progress under a lasting overload.
 const noLongerUsefulPeriod = 8
 
 // usefulnessOf returns the usefulness of a job for the current scan.
--- a/core/batch/core.go
+++ b/core/batch/core.go
@@ -50,7 +50,8 @@
 	// WorkerLease is the longest time for which a worker continues its runs without contact to its
 	// agent, including all delays.
 	WorkerLease time.Duration
-	// HeartbeatInterval is the heartbeat interval on links to agents with runs, IdleBeat on other links.
+	// HeartbeatInterval is the heartbeat interval on links to agents with runs,
+	// IdleHeartbeatInterval that on other links.
 	HeartbeatInterval, IdleHeartbeatInterval time.Duration
 	// SilenceTimeout is the time without a message from an agent after which it gets no new runs.
 	SilenceTimeout time.Duration
@@ -62,8 +63,8 @@
 	SettleTime time.Duration
 	// RemoteFactor is the factor on the run time of a task whose data is not in the worker's rack.
 	RemoteFactor float64
-	// CrossDataCentreCost is the time that starting a task in another data centre and reporting its end takes
-	// in addition.
+	// CrossDataCentreCost is the additional time that starting a task in another data centre and
+	// reporting its end takes.
 	CrossDataCentreCost time.Duration
 	// Overhead is the part of the objective that messages and the worker's start-up of a run take.
 	Overhead time.Duration
@@ -159,8 +160,8 @@
 	// expected time to the end and Wait the part of it before the start. Slack is how long the job
 	// could wait.
 	Age, Expected, Wait, Slack time.Duration
-	// LostWorkers is the number of workers lost while they ran the task, Blamed the number of crashes
-	// attributed to it.
+	// LostWorkers is the number of workers lost while they ran the task, BlamedCrashes the number
+	// of crashes attributed to it.
 	LostWorkers, BlamedCrashes int
 	// Deferred is set at the end of a job that was deferred.
 	Deferred bool
@@ -175,7 +176,7 @@
 	jobs       ordered.Map[string, *job]
 	// byRequest maps each unanswered request to its job.
 	byRequest map[RequestID]*job
-	// byTask maps the names of tasks.
+	// byTask maps the names of tasks to the tasks of all jobs here.
 	byTask   map[string]*task
 	runTimes runTimeEstimator
 	waits    waitEstimator
@@ -230,8 +231,8 @@
 	}
 }
 
-// Advance sets the current time before an event is handled. A gap above Settings.SuspensionThreshold is
-// handled as a suspension.
+// Advance sets the current time before an event is handled. A gap above
+// Settings.SuspensionThreshold is handled as a suspension.
 func (c *Core) Advance(now time.Time) {
 	gap := now.Sub(c.now)
 	suspended := !c.now.IsZero() && gap > c.settings.SuspensionThreshold
@@ -298,4 +299,4 @@
 }
 
 // logDecision adds a decision to the output.
-func (c *Core) logDecision(n Decision) { c.out.Decisions = append(c.out.Decisions, n) }
+func (c *Core) logDecision(d Decision) { c.out.Decisions = append(c.out.Decisions, d) }
--- a/core/batch/core_test.go
+++ b/core/batch/core_test.go
@@ -83,7 +83,7 @@
 
 func jobName(id int) string { return fmt.Sprintf("%016x", id) }
 
-// flush flushes the core and keeps the answers.
+// flush flushes the core and adds the answers to h.answers.
 func (h *harness) flush(now time.Time) Output {
 	out := h.Flush(now)
 	h.answers = append(h.answers, out.Answers...)
@@ -107,14 +107,14 @@
 }
 
 // reportEnd reports the end of a run of job 1.
-func (h *harness) reportEnd(now time.Time, agent int, index int, run uint32, how runs.Outcome) Output {
-	return h.reportEndWithReason(now, agent, index, run, how, runs.NoReason)
+func (h *harness) reportEnd(now time.Time, agent int, index int, run uint32, outcome runs.Outcome) Output {
+	return h.reportEndWithReason(now, agent, index, run, outcome, runs.NoReason)
 }
 
 // reportEndWithReason reports the end of a run of job 1 with a reason.
-func (h *harness) reportEndWithReason(now time.Time, agent, index int, run uint32, how runs.Outcome, reason runs.Reason) Output {
+func (h *harness) reportEndWithReason(now time.Time, agent, index int, run uint32, outcome runs.Outcome, reason runs.Reason) Output {
 	k := runs.Key{Task: fmt.Sprintf("%s.0.0.%d", jobName(1), index), Run: run}
-	h.Receive(now, LinkID(agent), &runs.ToEntry{Clock: now.UnixNano(), Ends: []runs.End{{Key: k, Outcome: how, Reason: reason}}})
+	h.Receive(now, LinkID(agent), &runs.ToEntry{Clock: now.UnixNano(), Ends: []runs.End{{Key: k, Outcome: outcome, Reason: reason}}})
 	return h.flush(now)
 }
 
@@ -166,8 +166,8 @@
 
 func TestRefusalRequiresProofThatNothingBegan(t *testing.T) {
 	for _, c := range []struct {
-		how  runs.Outcome
-		want errkind.Kind
+		outcome runs.Outcome
+		want    errkind.Kind
 	}{{runs.OutcomeRefused, errkind.Overloaded}, {runs.OutcomeStopped, errkind.DeadlineExceeded}} {
 		h := newHarness(t, 1)
 		h.submit(begin, 1, 2, 100*time.Millisecond)
@@ -177,7 +177,7 @@
 		out := h.reportEndWithReason(after(700), 0, 0, 2, runs.OutcomeRefused, runs.ReasonStartTimeout) // three objectives have passed
 		h.is.Equal(len(h.answers), 0)                                                                   // the other run may have begun
 		h.is.Equal(len(out.Sends[0].Msg.Stops), 1)
-		h.reportEnd(after(703), 0, 1, 1, c.how)
+		h.reportEnd(after(703), 0, 1, 1, c.outcome)
 		h.is.Equal(len(h.answers), 1)
 		h.is.Equal(h.answers[0].Kind, c.want)
 	}
@@ -399,7 +399,7 @@
 	for _, held := range []bool{false, true} {
 		h.Receive(after(10), 1-on, &runs.ToEntry{Clock: after(10).UnixNano(), UnownedEnds: []runs.End{{Key: k, Outcome: runs.OutcomeStopped, NeedsAck: held}}})
 		out = h.flush(after(10))
-		h.is.Equal(len(startsByLink(out)[0])+len(startsByLink(out)[1]), 0) // a second run would execute beside the first
+		h.is.Equal(len(startsByLink(out)[0])+len(startsByLink(out)[1]), 0) // a second run would run beside the first
 	}
 	h.is.Equal(out.Sends[0].Msg.AckedEnds, []runs.Key{k}) // the worker need not keep the end
 	h.reportEnd(after(20), int(on), 0, 1, runs.OutcomeDone)
--- a/core/batch/defer.go
+++ b/core/batch/defer.go
@@ -43,8 +43,8 @@
 // after half a second, in which their callers could have gone to another entry.
 const maxDeferredWaitShare = 0.3
 
-// isStartingUp reports whether the entry started recently and has not heard of any worker of a
-// service yet. It cannot know then whether the service is available.
+// isStartingUp reports whether the entry started recently and knows no worker of a service
+// yet. It cannot know then whether the service is available.
 func (c *Core) isStartingUp(service string) bool {
 	return c.now.Sub(c.startedAt) < discoveryTime && !c.hasUsableWorker(service)
 }
--- a/core/batch/defer_test.go
+++ b/core/batch/defer_test.go
@@ -113,19 +113,19 @@
 // TestDecisionAtTheEndOfADeferredJobIsMarked verifies the input of a metric, the share of deferred
 // jobs that are served.
 func TestDecisionAtTheEndOfADeferredJobIsMarked(t *testing.T) {
-	for _, kept := range []bool{true, false} {
+	for _, served := range []bool{true, false} {
 		h := newHarness(t, 1)
 		h.receiveReport(begin, 0, busyFor(200, 1000))
 		h.submit(begin, 1, 1, 100*time.Millisecond)
 		var last Decision
 		remember := func(out Output) {
-			for _, n := range out.Decisions {
-				if n.Event == "done" || n.Event == "give up" {
-					last = n
+			for _, d := range out.Decisions {
+				if d.Event == "done" || d.Event == "give up" {
+					last = d
 				}
 			}
 		}
-		if kept {
+		if served {
 			h.receiveReport(after(100), 0, nil)
 			h.flush(after(100))
 			remember(h.reportEnd(after(200), 0, 0, 1, runs.OutcomeDone))
@@ -135,6 +135,6 @@
 			remember(h.flush(after(ms)))
 		}
 		h.is.True(last.Deferred)
-		h.is.Equal(last.Event == "done", kept)
+		h.is.Equal(last.Event == "done", served)
 	}
 }
--- a/core/batch/durable.go
+++ b/core/batch/durable.go
@@ -65,7 +65,8 @@
 // last ends in this time.
 const endedRetention = 30 * time.Second
 
-// ConfirmOwnership sets the time until which the entry's ownership of its durable jobs is confirmed.
+// ConfirmOwnership sets the time until which the entry's ownership of its durable jobs is
+// confirmed. An earlier time than the present one is ignored.
 func (c *Core) ConfirmOwnership(until time.Time) {
 	if until.After(c.ownershipUntil) {
 		c.ownershipUntil = until
@@ -101,7 +102,7 @@
 	j.requests = nil
 	j.durable = &durable{safeAt: d.SafeAt}
 	if now.Before(d.SafeAt) {
-		// The previous owner has been gone for about as long as remains until SafeAt.
+		// The previous owner has been lost for about as long as remains until SafeAt.
 		j.arrived = now.Add(now.Sub(d.SafeAt))
 	}
 	for i := range d.Progress {
--- a/core/batch/durable_test.go
+++ b/core/batch/durable_test.go
@@ -22,9 +22,9 @@
 }
 
 // reportHeldEnd reports the held end of a run.
-func (h *harness) reportHeldEnd(now time.Time, agent, id, index int, run uint32, how runs.Outcome) Output {
+func (h *harness) reportHeldEnd(now time.Time, agent, id, index int, run uint32, outcome runs.Outcome) Output {
 	k := runs.Key{Task: fmt.Sprintf("%s.0.0.%d", jobName(id), index), Run: run}
-	h.Receive(now, LinkID(agent), &runs.ToEntry{Clock: now.UnixNano(), Ends: []runs.End{{Key: k, Outcome: how, NeedsAck: true}}})
+	h.Receive(now, LinkID(agent), &runs.ToEntry{Clock: now.UnixNano(), Ends: []runs.End{{Key: k, Outcome: outcome, NeedsAck: true}}})
 	return h.flush(now)
 }
 
@@ -54,18 +54,18 @@
 	h.is.Equal(starts[0].Durable, true)
 	out := h.reportHeldEnd(after(100), 0, 1, 0, 1, runs.OutcomeDone)
 	h.is.Equal(out.Records, []Record{{Job: jobName(1), Seq: 1, State: JobDone, Progress: []TaskProgress{{Done: true, Run: 1}}}})
-	n, _ := ackedAndVoidKeys(out)
-	h.is.Equal(len(n), 0)
+	acked, _ := ackedAndVoidKeys(out)
+	h.is.Equal(len(acked), 0)
 	state, _ := h.DurableState(jobName(1))
 	h.is.Equal(state, JobRunning) // not shown as done before it is stored
 	h.RecordStored(after(110), jobName(1), 1)
-	n, _ = ackedAndVoidKeys(h.flush(after(110)))
-	h.is.Equal(n, []runs.Key{starts[0].Key})
+	acked, _ = ackedAndVoidKeys(h.flush(after(110)))
+	h.is.Equal(acked, []runs.Key{starts[0].Key})
 	state, _ = h.DurableState(jobName(1))
 	h.is.Equal(state, JobDone)
 	// The agent's link broke before it received the acknowledgement: it reports the end again.
-	n, _ = ackedAndVoidKeys(h.reportHeldEnd(after(200), 0, 1, 0, 1, runs.OutcomeDone))
-	h.is.Equal(len(n), 1)
+	acked, _ = ackedAndVoidKeys(h.reportHeldEnd(after(200), 0, 1, 0, 1, runs.OutcomeDone))
+	h.is.Equal(len(acked), 1)
 }
 
 func TestDurableJobSurvivesTheDisconnectOfItsCaller(t *testing.T) {
@@ -90,15 +90,15 @@
 	h.advanceTo(after(1500)) // both leases have expired: the task starts on the other worker
 	h.LinkUp(after(1500), 7)
 	h.receiveReport(after(1500), 7, func(m *runs.ToEntry) { m.Worker.Agent = fmt.Sprintf("a%d", at) })
-	n, void := ackedAndVoidKeys(h.reportHeldEnd(after(1510), 7, 1, 0, 1, runs.OutcomeDone))
-	h.is.Equal(len(n), 0)
+	acked, void := ackedAndVoidKeys(h.reportHeldEnd(after(1510), 7, 1, 0, 1, runs.OutcomeDone))
+	h.is.Equal(len(acked), 0)
 	h.is.Equal(len(void), 1)
 }
 
 func TestTakenOverJobWaitsForItsPreviousOwner(t *testing.T) {
 	h := newHarness(t, 1)
-	taken := func(d *DurableJob) { d.SafeAt = after(1000) }
-	h.is.Equal(len(startsByLink(h.own(begin, 1, 2, taken))), 0)
+	takenOver := func(d *DurableJob) { d.SafeAt = after(1000) }
+	h.is.Equal(len(startsByLink(h.own(begin, 1, 2, takenOver))), 0)
 	// Ends are accepted at once, but nothing starts.
 	out := h.reportHeldEnd(after(500), 0, 1, 0, 3, runs.OutcomeDone)
 	h.is.Equal(len(startsByLink(out)[0]), 0)
@@ -146,8 +146,8 @@
 		d.SafeAt = after(1000)
 		d.Progress = []TaskProgress{{Abandoned: 2}}
 	})
-	n, void := ackedAndVoidKeys(h.reportHeldEnd(after(500), 0, 1, 0, 2, runs.OutcomeDone))
-	h.is.Equal(len(n), 0)
+	acked, void := ackedAndVoidKeys(h.reportHeldEnd(after(500), 0, 1, 0, 2, runs.OutcomeDone))
+	h.is.Equal(len(acked), 0)
 	h.is.Equal(len(void), 1)
 }
 
@@ -160,8 +160,8 @@
 	h.is.Equal(out.Disowned, []string{jobName(1)})
 	h.is.Equal(out.Sends[0].Msg.Stops, []runs.Key{starts[0].Key})
 	out = h.reportHeldEnd(after(5150), 0, 1, 0, 1, runs.OutcomeStopped)
-	n, void := ackedAndVoidKeys(out)
-	h.is.Equal(len(n)+len(void)+len(out.Records), 0) // left to the next owner
+	acked, void := ackedAndVoidKeys(out)
+	h.is.Equal(len(acked)+len(void)+len(out.Records), 0) // left to the next owner
 }
 
 func TestCancelledJobStopsAndNeedsNoRecord(t *testing.T) {
@@ -170,8 +170,8 @@
 	h.CancelDurable(after(10), jobName(1))
 	h.is.Equal(h.flush(after(10)).Sends[0].Msg.Stops, []runs.Key{starts[0].Key})
 	out := h.reportHeldEnd(after(50), 0, 1, 0, 1, runs.OutcomeStopped)
-	n, _ := ackedAndVoidKeys(out)
-	h.is.Equal(len(n), 1)
+	acked, _ := ackedAndVoidKeys(out)
+	h.is.Equal(len(acked), 1)
 	h.is.Equal(len(out.Records), 0)
 }
 
@@ -196,8 +196,8 @@
 	h.is.Equal(starts[1].Checkpoint, "c")
 	h.is.Equal(starts[1].Key.Run, uint32(5))
 	// That end was counted before the takeover, so its agent may forget it.
-	n, _ := ackedAndVoidKeys(h.reportHeldEnd(after(10), 0, 1, 2, 4, runs.OutcomeFailed))
-	h.is.Equal(len(n), 1)
+	acked, _ := ackedAndVoidKeys(h.reportHeldEnd(after(10), 0, 1, 2, 4, runs.OutcomeFailed))
+	h.is.Equal(len(acked), 1)
 }
 
 func TestStepsOfADurableJobRunInOrder(t *testing.T) {
@@ -239,12 +239,12 @@
 func TestUrgentQueueGoesFirst(t *testing.T) {
 	h := newHarness(t, 1)
 	urgent := &catalog.Queue{Name: "u", Service: "s", Priority: 0, MaxAttempts: 2, Stretch: 1.6, Target: time.Minute}
-	patient := &catalog.Queue{Name: "p", Service: "s", Priority: 2, MaxAttempts: 2, Stretch: 1.6, Target: time.Minute}
+	lessUrgent := &catalog.Queue{Name: "p", Service: "s", Priority: 2, MaxAttempts: 2, Stretch: 1.6, Target: time.Minute}
 	h.receiveReport(begin, 0, func(m *runs.ToEntry) {
 		m.Load.Free = room.Resources{}
 		m.Load.ExpectedEnds = []runs.ExpectedEnd{{After: 900, CPU: 4000}}
 	})
-	h.own(begin, 1, 4, func(d *DurableJob) { d.Queue = patient })
+	h.own(begin, 1, 4, func(d *DurableJob) { d.Queue = lessUrgent })
 	h.own(after(500), 2, 4, func(d *DurableJob) { d.Queue = urgent })
 	h.receiveReport(after(520), 0, nil)
 	for _, s := range startsByLink(h.flush(after(520)))[0] {
--- a/core/batch/record.go
+++ b/core/batch/record.go
@@ -19,12 +19,12 @@
 	Abandoned uint32 `cbor:"7,keyasint,omitempty"`
 	// Checkpoint is where the next run resumes.
 	Checkpoint string `cbor:"6,keyasint,omitempty"`
-	// LostWorkers is the number of workers lost while they ran the task, Blamed the number of crashes
-	// attributed to it.
+	// LostWorkers is the number of workers lost while they ran the task, BlamedCrashes the number
+	// of crashes attributed to it.
 	LostWorkers   int `cbor:"8,keyasint,omitempty"`
 	BlamedCrashes int `cbor:"9,keyasint,omitempty"`
-	// UnreachableWorkers is the number of workers that became unreachable while they ran the task and may have
-	// crashed.
+	// UnreachableWorkers is the number of workers that became unreachable while they ran the task
+	// and may have crashed.
 	UnreachableWorkers int `cbor:"10,keyasint,omitempty"`
 }
 
@@ -180,7 +180,8 @@
 	c.markDirty(a)
 }
 
-// ResolveEnds acknowledges ends of jobs that are not here to an agent, or tells it that they are void.
+// ResolveEnds acknowledges ends of jobs that are not here to an agent, or tells it that they are
+// void: they came too late, see core/runner.
 func (c *Core) ResolveEnds(now time.Time, id LinkID, acknowledged, void []runs.Key) {
 	c.Advance(now)
 	a := c.agents.Get(id)
--- a/core/leases/leases.go
+++ b/core/leases/leases.go
@@ -30,8 +30,8 @@
 	RunExpiry time.Duration
 }
 
-// ForResend returns the leases for a resend time. stop is how long the worker may take to stop a run,
-// longest the longest lease that it grants; 0 means no limit.
+// ForResend returns the leases for a resend time. stop is how long the worker may take to stop a
+// run, longest the longest lease that it grants; 0 means no limit.
 func ForResend(resend, stop, longest time.Duration) Times {
 	owner := time.Duration(ownerShare * float64(resend))
 	ending := stop + expirySlack
--- a/core/runner/capacity_test.go
+++ b/core/runner/capacity_test.go
@@ -63,7 +63,7 @@
 	h.is.Equal(startsOf(h.Flush(after(2))), []runs.Key{key("t3")})
 }
 
-func TestRecalledCapacityDoesNotReplaceAnnouncedOne(t *testing.T) {
+func TestLoadedCapacityDoesNotReplaceAnnouncedOne(t *testing.T) {
 	// The adapter drops delayed announcements by their number. What the registry has may be older
 	// than the last announcement and does not replace it.
 	h := newHarness(t)
--- a/core/runner/core.go
+++ b/core/runner/core.go
@@ -54,7 +54,8 @@
 	AdoptTimeout time.Duration
 	// QueueLimit is the greatest number of runs that wait for free capacity.
 	QueueLimit int
-	// HeartbeatInterval is the heartbeat interval on links whose entry has runs here, IdleBeat that on others.
+	// HeartbeatInterval is the heartbeat interval on links whose entry has runs here,
+	// IdleHeartbeatInterval that on others.
 	HeartbeatInterval, IdleHeartbeatInterval time.Duration
 	// ProgressReportFactor is the multiple of its estimated run time after which the owner of a run
 	// receives progress reports.
@@ -75,7 +76,7 @@
 	Msg  *runs.ToEntry
 }
 
-// Output is what the caller of the core must carry out.
+// Output lists the actions that the core asks its owner to perform.
 type Output struct {
 	Sends  []Send
 	Orders []Order
@@ -96,7 +97,7 @@
 	Age time.Duration
 	// Version is the version of the view of drained data centres, in decisions about drains.
 	Version uint64
-	// Worker and Former are the worker's present and its previous incarnation, in decisions about
+	// Worker and Previous are the worker's present and its previous incarnation, in decisions about
 	// the worker.
 	Worker, Previous runs.Incarnation
 }
@@ -211,10 +212,10 @@
 
 // loadUpdatesPerSecond limits the messages a second, to all entries together, that carry nothing
 // but a changed load. Each start and end changes the load: sending each change at once on each
-// link costs a message for each task and entry, which saturated the processors of 55 entries with
-// 240 agents even under low load. Ends, progress reports and heartbeats carry the load anyway. With the
-// six links of a subset, 480 a second are one each 12 ms and link; with 160 a second the worth
-// earned in a burst was 0.842 instead of 0.866.
+// link costs a message for each task and entry, which saturates the processors of 55 entries with
+// 240 agents even under low load. Ends, progress reports and heartbeats carry the load anyway.
+// With the six links of a subset, 480 a second are one every 12 ms on each link. With 160 a second
+// 0.842 of the total job value is earned in a burst, with 480 it is 0.866.
 const loadUpdatesPerSecond = 480
 
 // loadUpdateInterval returns the shortest interval between load updates on one link. It grows
@@ -310,7 +311,7 @@
 // hasLease reports whether an entry's lease is valid.
 func (c *Core) hasLease(entry runs.Entry) bool { return c.now.Before(c.ownerLeases[entry.Incarnation]) }
 
-// Tick handles what is due by time alone. The caller calls it before each event and at regular
+// Tick handles what is due by time alone. It must be called before each event and at regular
 // intervals.
 func (c *Core) Tick(now time.Time) {
 	c.now = now
@@ -329,7 +330,7 @@
 	c.askAboutHeldEnds()
 	c.deleteExpiredLeases()
 	c.closeReleased()
-	c.recordEmptied()
+	c.logEmptied()
 }
 
 // expireOwners ends the runs of entries whose lease has expired.
--- a/core/runner/core_test.go
+++ b/core/runner/core_test.go
@@ -191,7 +191,7 @@
 	c.LinkUp(start, 1, entry)
 	c.Receive(start, 1, &runs.ToAgent{Clock: start.UnixNano(), Owned: []runs.OwnedRun{{Key: key("mine"), Need: small}}})
 	poll, _ := c.NextPoll(start)
-	h.is.Equal(poll.Token, int64(9000)) // shuts out orders of the previous process
+	h.is.Equal(poll.Token, int64(9000)) // fences off orders of the previous process
 	c.PollAnswered(start, poll, Answer{Status: Accepted, Clock: 9000}, Listing{Running: []Running{{Key: key("mine")}, {Key: key("other")}}})
 	h.is.Equal(c.freeCapacity(), room.Resources{}) // what other needs is not known
 	poll, _ = c.NextPoll(after(1))
@@ -302,7 +302,7 @@
 	h.is.Equal(h.waitingCPU(), []int{0, 0, 1000, 2000, 0})
 }
 
-func TestRecalledWorkerIsPolledWithATokenFromItsClock(t *testing.T) {
+func TestLoadedWorkerIsPolledWithATokenFromItsClock(t *testing.T) {
 	is := is.New(t)
 	for _, first := range []Status{RefusedFence, Accepted} {
 		c := New(newHarness(t).settings)
@@ -319,7 +319,7 @@
 	}
 }
 
-func TestRecalledIncarnationThatIsOverIsRetired(t *testing.T) {
+func TestLoadedIncarnationThatIsOverIsRetired(t *testing.T) {
 	is := is.New(t)
 	c := New(newHarness(t).settings)
 	c.WorkerLoaded(start, worker("w1"))
--- a/core/runner/crash.go
+++ b/core/runner/crash.go
@@ -37,9 +37,10 @@
 }
 
 // lossEnd returns the end of a run that was lost with its worker. If its start got no answer, the
-// worker may have been gone before: the run is not blamed then, unless it required to run alone.
-func (c *Core) lossEnd(r *run, how runs.Outcome, reason runs.Reason) runs.End {
-	end := runs.End{Key: r.key, Outcome: how, Reason: reason}
+// worker may have crashed before the start arrived: the run is not blamed then, unless it had to
+// run alone.
+func (c *Core) lossEnd(r *run, outcome runs.Outcome, reason runs.Reason) runs.End {
+	end := runs.End{Key: r.key, Outcome: outcome, Reason: reason}
 	if reason != runs.ReasonWorkerCrashed {
 		return end
 	}
@@ -92,7 +93,7 @@
 	}
 }
 
-// isolation tracks which suspects may start beside the runs at the worker.
+// isolation tracks which runs may start beside those at the worker.
 type isolation struct {
 	// running is the number of runs at the worker, suspects the number of suspected ones among
 	// them.
@@ -121,7 +122,7 @@
 	i.exclusive = i.exclusive || s == runs.IsolationExclusive
 }
 
-// admits reports whether a run with the given suspicion may start.
+// admits reports whether a run that needs the given isolation may start.
 func (i *isolation) admits(s runs.Isolation) bool {
 	switch {
 	case i.exclusive:
--- a/core/runner/crash_test.go
+++ b/core/runner/crash_test.go
@@ -17,7 +17,7 @@
 	return keys
 }
 
-// sendSuspect delivers a start with a suspicion, at now in ms after the start of the test.
+// sendSuspect delivers a start with the given isolation, at now in ms after the start of the test.
 func (h *harness) sendSuspect(now int, task string, s runs.Isolation) Output {
 	h.Receive(after(now), 1, &runs.ToAgent{Clock: after(now).UnixNano(), Starts: []runs.Start{{
 		Key: key(task), Need: small, Estimate: 100e6, Slack: 100e6, StartTimeout: 1e9, Isolation: s,
--- a/core/runner/drains.go
+++ b/core/runner/drains.go
@@ -43,8 +43,8 @@
 // isDrained reports whether the worker's data centre is drained, so that nothing new starts.
 func (c *Core) isDrained() bool { return c.drains.IsDrained(c.worker.info.DataCentre) }
 
-// recordEmptied records, once a drain, that the worker of a drained data centre has no runs left.
-func (c *Core) recordEmptied() {
+// logEmptied records, once a drain, that the worker of a drained data centre has no runs left.
+func (c *Core) logEmptied() {
 	if c.emptyReported || !c.isDrained() || c.runs.Len() > 0 {
 		return
 	}
@@ -56,7 +56,7 @@
 func (c *Core) DrainedDataCentres() []string { return c.drains.DataCentres() }
 
 // DrainsUnconfirmed reports whether the view of drained data centres was not confirmed within
-// DrainsWithin. A new agent gets that time to receive a view from its first entry.
+// DrainViewMaxAge. A new agent gets that time to receive a view from its first entry.
 func (c *Core) DrainsUnconfirmed(now time.Time) bool {
 	c.now = now
 	maxAge := c.settings.DrainViewMaxAge
--- a/core/runner/durable_test.go
+++ b/core/runner/durable_test.go
@@ -17,10 +17,10 @@
 }
 
 // endDurable has a run of a durable job start and end.
-func (h *harness) endDurable(task string, how runs.Outcome) {
+func (h *harness) endDurable(task string, outcome runs.Outcome) {
 	out := h.sendDurable(start, task)
 	h.OrderAnswered(after(1), out.Orders[0], Answer{Status: Accepted, Clock: 5001})
-	h.pollAt(after(10), Listing{Ended: []Ended{{Number: 1, Key: key(task), Outcome: how}}})
+	h.pollAt(after(10), Listing{Ended: []Ended{{Number: 1, Key: key(task), Outcome: outcome}}})
 }
 
 func TestEndIsHeldUntilItIsStored(t *testing.T) {
@@ -77,7 +77,7 @@
 	h.is.Equal(h.isUnavailable(), false)
 }
 
-func TestRunMissingInACutListingMayHaveEnded(t *testing.T) {
+func TestRunMissingInATruncatedListingMayHaveEnded(t *testing.T) {
 	h := newHarness(t)
 	out := h.send(start, "t1")
 	h.OrderAnswered(after(1), out.Orders[0], Answer{Status: Accepted, Clock: 5001})
--- a/core/runner/held.go
+++ b/core/runner/held.go
@@ -94,7 +94,7 @@
 		return
 	}
 	h.void = true
-	c.recordHeldEnd("lease left to end", h)
+	c.logHeldEnd("lease left to end", h)
 	c.refuseWaiting(runs.ReasonNoWorker)
 	c.sendWorkerToAll()
 }
@@ -131,15 +131,15 @@
 	}
 	for number, h := range c.held.All() {
 		if h.void {
-			c.recordHeldEnd("lease has ended", h)
+			c.logHeldEnd("lease has ended", h)
 			c.held.Delete(number)
 		}
 	}
 	c.sendWorkerToAll()
 }
 
-// recordHeldEnd records a decision about a held end for the log.
-func (c *Core) recordHeldEnd(event string, h *heldEnd) {
+// logHeldEnd records a decision about a held end for the log.
+func (c *Core) logHeldEnd(event string, h *heldEnd) {
 	c.out.Decisions = append(c.out.Decisions, Decision{Event: event, Key: h.end.Key, Reason: h.end.Reason, Age: c.now.Sub(h.listedAt)})
 }
 
@@ -170,7 +170,7 @@
 			continue
 		}
 		h.askedAt = c.now
-		c.recordHeldEnd("end not stored", h)
+		c.logHeldEnd("end not stored", h)
 		for l := range c.links.Values() {
 			l.out.UnownedEnds = append(l.out.UnownedEnds, h.end)
 			l.dirty = true
--- a/core/runner/lease_test.go
+++ b/core/runner/lease_test.go
@@ -59,7 +59,7 @@
 			}
 			started++
 			h.is.True(!leaseExpiry(o.Deadline).After(h.mustEndBy()))
-			h.finish(h.runs.Get(o.Key), runs.End{Key: o.Key, Outcome: runs.OutcomeDone}) // makes room for the next one
+			h.finish(h.runs.Get(o.Key), runs.End{Key: o.Key, Outcome: runs.OutcomeDone}) // frees its capacity for the next one
 		}
 	}
 	h.is.True(started > 5)
--- a/core/runner/load.go
+++ b/core/runner/load.go
@@ -113,15 +113,15 @@
 	return max(c.expectedRunTime(r)-c.now.Sub(r.confirmedAt), time.Millisecond)
 }
 
-// maxFreeings is the greatest number of expected ends in a load.
-const maxFreeings = 12
+// maxExpectedEnds is the greatest number of expected ends in a load.
+const maxExpectedEnds = 12
 
 // load returns the load for a link. The part that is equal for all links is computed once a
 // flush.
 func (c *Core) load(l *link) *runs.Load {
 	if c.sharedLoad == nil {
 		c.sharedLoad = &runs.Load{
-			Free: c.freeCapacity(), Waiting: c.waitingCPU(), ExpectedEnds: c.freeings(), Slowness: c.slowness(),
+			Free: c.freeCapacity(), Waiting: c.waitingCPU(), ExpectedEnds: c.expectedEnds(), Slowness: c.slowness(),
 			FailStreak: c.speed.failStreak, SharingEntries: c.activeLinks(),
 		}
 	}
@@ -142,8 +142,8 @@
 	return bands
 }
 
-// freeings returns the next expected ends, soonest first.
-func (c *Core) freeings() []runs.ExpectedEnd {
+// expectedEnds returns the next expected ends, soonest first.
+func (c *Core) expectedEnds() []runs.ExpectedEnd {
 	var list []runs.ExpectedEnd
 	for r := range c.runs.Values() {
 		if r.phase != phaseWaiting && !r.orphan {
@@ -151,7 +151,7 @@
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].After < list[j].After })
-	return list[:min(len(list), maxFreeings)]
+	return list[:min(len(list), maxExpectedEnds)]
 }
 
 // progress reports an entry's runs that wait or that take much longer than estimated, and new
--- a/core/runner/load_test.go
+++ b/core/runner/load_test.go
@@ -60,14 +60,14 @@
 	h.send(after(200), "t0") // sent to all, since the last messages are long ago
 	h.send(after(210), "t1")
 	h.is.True(h.HasUnsentLoad())
-	heard := make(map[LinkID]int)
+	freeCPU := make(map[LinkID]int)
 	for ms := 210; ms <= 310; ms += 10 {
 		for _, s := range h.Flush(after(ms)).Sends {
-			heard[s.Link] = s.Msg.Load.Free.CPU
+			freeCPU[s.Link] = s.Msg.Load.Free.CPU
 		}
 	}
-	h.is.Equal(len(heard), 30)
-	for _, free := range heard {
+	h.is.Equal(len(freeCPU), 30)
+	for _, free := range freeCPU {
 		h.is.Equal(free, 6000)
 	}
 	h.is.True(!h.HasUnsentLoad())
--- a/core/runner/orders.go
+++ b/core/runner/orders.go
@@ -34,7 +34,7 @@
 // Status is how the worker answered an order or a poll.
 type Status uint8
 
-// Verdicts.
+// Answers of the worker.
 const (
 	// Accepted: the worker has carried the order out, or answered the poll.
 	Accepted Status = iota + 1
@@ -182,8 +182,8 @@
 const maxAnswerDelay = 400 * time.Millisecond
 
 // isStale reports whether the answer to a poll came too late or is from an earlier epoch.
-func (l Poll) isStale(now time.Time, epoch uint64) bool {
-	return l.epoch != epoch || now.Sub(l.SentAt) > l.Wait+maxAnswerDelay
+func (p Poll) isStale(now time.Time, epoch uint64) bool {
+	return p.epoch != epoch || now.Sub(p.SentAt) > p.Wait+maxAnswerDelay
 }
 
 // IsPollDue reports whether the worker should be polled now.
@@ -288,12 +288,12 @@
 		return
 	}
 	if c.worker.token == 0 {
-		c.worker.token = a.Clock // shuts out the orders of a previous process
+		c.worker.token = a.Clock // fences off the orders of a previous process
 		return
 	}
 	c.processEnds(listing.Ended)
 	c.processRunning(listing.Running)
-	if !listing.Truncated { // a run that is missing in a cut listing may have ended
+	if !listing.Truncated { // a run that is missing in a truncated listing may have ended
 		c.finishUnlisted(poll, listing.Running)
 	}
 	if !c.worker.synced {
@@ -341,7 +341,7 @@
 		if r == nil {
 			r = &run{key: listed.Key, orphan: true, phase: phaseOrdered, orderedAt: c.now, incarnation: c.worker.info.Incarnation()}
 			c.runs.Put(listed.Key, r)
-			c.recordDecision("orphan", r, runs.NoReason)
+			c.logDecision("orphan", r, runs.NoReason)
 		}
 		if r.phase == phaseWaiting {
 			continue // a run with the same key of a previous process; its stop ends it
--- a/core/runner/release.go
+++ b/core/runner/release.go
@@ -8,8 +8,8 @@
 // they have ended. Then the link is closed. Closing it at once would leave the outcome of the
 // entry's runs unknown until their leases have expired.
 
-// minReleaseDuration is how long a released link stays open at least, so that the entry hears of
-// the release and what it sent before arrives.
+// minReleaseDuration is how long a released link stays open at least, so that the entry
+// receives the release and what it sent before arrives.
 const minReleaseDuration = time.Second
 
 func (l *link) isReleased() bool { return !l.releasedAt.IsZero() }
@@ -69,8 +69,8 @@
 	return n
 }
 
-// HasUndeliveredEnds reports whether an end was held for longer than askInterval. The entry that has taken
-// its job over may be one that this agent has no link to.
+// HasUndeliveredEnds reports whether an end was held for longer than askInterval. The entry that
+// has taken its job over may be one that this agent has no link to.
 func (c *Core) HasUndeliveredEnds() bool {
 	for h := range c.held.Values() {
 		if c.now.Sub(h.listedAt) > askInterval {
--- a/core/runner/restart.go
+++ b/core/runner/restart.go
@@ -102,7 +102,7 @@
 		}
 		r.lossReason = reason
 	}
-	c.recordRestart("worker restarted", previous.info.Incarnation())
+	c.logRestart("worker restarted", previous.info.Incarnation())
 	c.sendWorkerToAll()
 }
 
@@ -142,7 +142,7 @@
 	}
 }
 
-// recordRestart records that the worker has another incarnation.
-func (c *Core) recordRestart(event string, previous runs.Incarnation) {
+// logRestart records that the worker has another incarnation.
+func (c *Core) logRestart(event string, previous runs.Incarnation) {
 	c.out.Decisions = append(c.out.Decisions, Decision{Event: event, Worker: c.worker.info.Incarnation(), Previous: previous})
 }
--- a/core/runner/run.go
+++ b/core/runner/run.go
@@ -163,7 +163,7 @@
 		if !iso.admits(r.start.Isolation) {
 			waiting = append(waiting, r)
 			if r.start.Isolation == runs.IsolationExclusive {
-				left = room.Resources{} // else the worker would never be empty
+				left = room.Resources{} // otherwise the worker would never be empty
 			}
 			continue
 		}
@@ -239,7 +239,7 @@
 	c.out.Orders = append(c.out.Orders, Order{
 		Kind: OrderStop, Key: r.key, Worker: c.worker.info.ID, Born: c.worker.info.Born, Token: c.worker.token,
 	})
-	c.recordDecision("stop", r, r.stopReason)
+	c.logDecision("stop", r, r.stopReason)
 }
 
 // handleStopRequest handles an entry's request to end a run. If the result is still wanted and
@@ -296,7 +296,7 @@
 	c.runs.Delete(r.key)
 	c.loadChanged = true
 	c.recent.add(end)
-	c.recordDecision("end "+end.Outcome.String(), r, end.Reason)
+	c.logDecision("end "+end.Outcome.String(), r, end.Reason)
 	c.sendEnd(r.owner, end)
 }
 
@@ -310,8 +310,8 @@
 	}
 }
 
-// recordDecision records a decision about a run for the log.
-func (c *Core) recordDecision(event string, r *run, reason runs.Reason) {
+// logDecision records a decision about a run for the log.
+func (c *Core) logDecision(event string, r *run, reason runs.Reason) {
 	age := time.Duration(0)
 	if !r.orderedAt.IsZero() {
 		age = c.now.Sub(r.orderedAt)
--- a/core/runner/stop_test.go
+++ b/core/runner/stop_test.go
@@ -41,7 +41,7 @@
 		h.Tick(after(ms))
 		stopped += len(stopsOf(h.Flush(after(ms))))
 	}
-	h.is.True(stopped >= 3) // each 150 ms until its end is listed
+	h.is.True(stopped >= 3) // every 150 ms until its end is listed
 	h.pollAt(after(1010), Listing{Ended: []Ended{{Number: 1, Key: key("t1"), Outcome: runs.OutcomeStopped}}})
 	h.is.Equal(h.RunCount(), 0)
 }
--- a/core/runner/worker.go
+++ b/core/runner/worker.go
@@ -10,7 +10,7 @@
 // workerState is the state of the worker's present incarnation.
 type workerState struct {
 	info runs.Worker
-	// known is set once an incarnation was announced or recalled from the registry.
+	// known is set once an incarnation was announced or loaded from the registry.
 	known bool
 	// synced is set once the worker was polled with this process's token: all its runs are known
 	// then, and no order of a previous process can take effect.
@@ -84,8 +84,8 @@
 // recordDeadline records a deadline that the worker may have received.
 func (w *workerState) recordDeadline(ms int64) { w.latestDeadline = max(w.latestDeadline, ms) }
 
-// WorkerAnnounced handles an announcement of the worker with a reading of its clock in ms. It returns
-// false if the announced incarnation is retired.
+// WorkerAnnounced handles an announcement of the worker with a reading of its clock in ms. It
+// returns false if the announced incarnation is retired.
 func (c *Core) WorkerAnnounced(now time.Time, info runs.Worker, clock int64) bool {
 	c.now = now
 	if c.retired.has(info.Incarnation()) {
@@ -320,11 +320,11 @@
 		r.start.Estimate = o.Estimate
 		r.durable = o.Durable
 		c.loadChanged = true
-		c.recordDecision("adopt", r, runs.NoReason)
+		c.logDecision("adopt", r, runs.NoReason)
 	}
 }
 
-// stopOrphans stops orphans that no entry has claimed within AdoptWithin.
+// stopOrphans stops orphans that no entry has claimed within AdoptTimeout.
 func (c *Core) stopOrphans() {
 	if !c.worker.synced || c.now.Sub(c.worker.syncedAt) < c.settings.AdoptTimeout {
 		return
