--- a/core/ledger/follow.go
+++ b/core/ledger/follow.go
@@ -132,7 +132,7 @@
 
 // goneSince returns since when an owner is gone; zero if it is not. That is certain if another
 // process answers at the owner's address. Otherwise the owner has only been silent for longer than
-// SilentAfter and may still be alive.
+// SilenceTimeout and may still be alive.
 func (c *Core) goneSince(owner runs.Entry) (since time.Time, certain bool) {
 	if owner.Address == c.settings.Self.Address {
 		return c.startedAt, true
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -7,9 +7,9 @@
 //
 // Ownership. An entry runs a job only while its ownership of that job is confirmed. A poll of the
 // changes confirms it: once the poll is answered, no other entry can have taken the job before the
-// poll was sent. A confirmation is valid for Settings.OwnershipTTL, counted from the sending of the poll.
-// An entry that takes a job over from an owner that may still be alive waits for that time, and for
-// the leases of the owner's runs to expire, before it starts any task.
+// poll was sent. A confirmation is valid for Settings.OwnershipTTL, counted from the sending of the
+// poll. An entry that takes a job over from an owner that may still be alive waits for that time,
+// and for the leases of the owner's runs to expire, before it starts any task.
 //
 // Edge cases:
 //   - The answer to a write may be lost. The write is repeated under the same condition, and a row
@@ -34,14 +34,15 @@
 // Settings configures a Core.
 type Settings struct {
 	Self runs.Entry
-	// OwnershipTTL is how long a confirmation of ownership is valid, counted from the sending of the poll
-	// that confirmed it.
+	// OwnershipTTL is how long a confirmation of ownership is valid, counted from the sending of
+	// the poll that confirmed it.
 	OwnershipTTL time.Duration
 	// RunExpiry is the time after which all runs of an entry that is gone have ended.
 	RunExpiry time.Duration
 	// SilenceTimeout is how long another entry may be silent before it counts as gone.
 	SilenceTimeout time.Duration
-	// EndedRetention is how long the row of an ended job is kept, so that callers can ask for its state.
+	// EndedRetention is how long the row of an ended job is kept, so that callers can ask for its
+	// state.
 	EndedRetention time.Duration
 	// MaxOpenJobs limits the number of jobs of this entry that have not ended.
 	MaxOpenJobs int
@@ -181,8 +182,8 @@
 // IsEmpty reports whether all rows were read and there is no durable job.
 func (c *Core) IsEmpty() bool { return c.loaded && len(c.jobs) == 0 }
 
-// HasUnconfirmed reports whether this entry owns jobs but cannot run them because its ownership is not
-// confirmed.
+// HasUnconfirmed reports whether this entry owns jobs but cannot run them because its ownership is
+// not confirmed.
 func (c *Core) HasUnconfirmed() bool {
 	if c.isConfirmed() {
 		return false
@@ -266,8 +267,8 @@
 	c.sendNextWrite(j)
 }
 
-// HandleOwnershipExpired handles that the entry's core has stopped a job because its ownership was not confirmed in
-// time. The job starts again once it is.
+// HandleOwnershipExpired handles that the entry's core has stopped a job because its ownership was
+// not confirmed in time. The job starts again once it is.
 func (c *Core) HandleOwnershipExpired(now time.Time, name string) {
 	c.now = now
 	j := c.jobs[name]
@@ -301,15 +302,15 @@
 	return n
 }
 
-// ResolveEnd decides on the end of a run whose job this entry does not run. The end is noted if no
-// entry needs it, so the agent may forget it. It is void if the job may have ended by another run
-// of the same task. If neither is set, the agent keeps the end until the owner of the job
+// ResolveEnd decides on the end of a run whose job this entry does not run. The end is acknowledged
+// if no entry needs it, so the agent may forget it. It is void if the job may have ended by another
+// run of the same task. If neither is set, the agent keeps the end until the owner of the job
 // acknowledges it.
 //
 // A job that is unknown here may just have been accepted by another entry. Its row was stored
 // before the run began, so a poll of the changes that is sent after the first question shows it.
 // Until such a poll is answered, neither is set.
-func (c *Core) ResolveEnd(now time.Time, end runs.End) (noted, void bool) {
+func (c *Core) ResolveEnd(now time.Time, end runs.End) (acked, void bool) {
 	c.now = now
 	j := c.jobs[end.Key.Job()]
 	switch {
@@ -317,14 +318,14 @@
 		return c.isConfirmedAbsent(end.Key.Job()), false
 	case !j.row.State.Ended():
 		return false, false
-	case j.row.State == batch.JobCancelled, end.Outcome != runs.OutcomeDone && end.Outcome != runs.OutcomeFailed, j.row.isCounted(end.Key):
+	case j.row.State == batch.JobCancelled, end.Outcome != runs.OutcomeDone && end.Outcome != runs.OutcomeFailed, j.row.isCompletingRun(end.Key):
 		return true, false
 	}
 	return false, true
 }
 
-// isCounted reports whether a run is the one that completed its task.
-func (r *Row) isCounted(key runs.Key) bool {
+// isCompletingRun reports whether a run is the one that completed its task.
+func (r *Row) isCompletingRun(key runs.Key) bool {
 	for _, p := range r.Progress {
 		if key.Task == batch.TaskName(key.Job(), p.Step, p.Index) {
 			return key.Run == p.Run
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -101,7 +101,7 @@
 	is.Equal(len(out.Acquired), 1)
 }
 
-func TestAcceptRefusesBeforeLoadAndAboveMaxOpen(t *testing.T) {
+func TestAcceptRefusesBeforeLoadAndAboveMaxOpenJobs(t *testing.T) {
 	is := is.New(t)
 	c := newCore()
 	c.Accept(start, 1, "j", &Row{Queue: "q"}) // the rows are not read yet
@@ -165,14 +165,14 @@
 	c := newLoadedCore(rowOfPeer("j", 4))
 	c.RecordAlive(start, []runs.Entry{other})
 	c.Tick(after(1000))
-	is.Equal(len(c.Flush().Writes), 0) // heard within SilentAfter
+	is.Equal(len(c.Flush().Writes), 0) // heard within SilenceTimeout
 	c.Tick(after(3000))
 	w := c.Flush().Writes[0]
 	is.Equal(w.Row.Owner, self)
 	is.Equal(w.Row.Epoch, uint64(2))
 	c.HandleWriteResult(after(3005), w, WriteResult{Status: Applied, Version: 8})
 	out := c.Flush()
-	is.Equal(out.Acquired[0].SafeAt, after(3005).Add(6*time.Second)) // OwnFor and RunsOver
+	is.Equal(out.Acquired[0].SafeAt, after(3005).Add(6*time.Second)) // OwnershipTTL and RunExpiry
 }
 
 func TestTakeoverFromReplacedProcessWaitsForItsRunsOnly(t *testing.T) {
@@ -189,13 +189,13 @@
 		}
 	}
 	c.HandleWriteResult(after(4000), w, WriteResult{Status: Applied, Version: 8})
-	is.Equal(c.Flush().Acquired[0].SafeAt, after(4000).Add(time.Second)) // RunsOver alone
+	is.Equal(c.Flush().Acquired[0].SafeAt, after(4000).Add(time.Second)) // RunExpiry alone
 }
 
 func TestNoTakeoverWithoutConfirmedOwnership(t *testing.T) {
 	is := is.New(t)
 	c := newLoadedCore(rowOfPeer("j", 4))
-	c.Tick(after(6000)) // the last poll was sent 6 s ago, which is beyond OwnFor
+	c.Tick(after(6000)) // the last poll was sent 6 s ago, which is beyond OwnershipTTL
 	is.Equal(len(c.Flush().Writes), 0)
 }
 
@@ -213,17 +213,17 @@
 	is := is.New(t)
 	c := newLoadedCore()
 	end := runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, Outcome: runs.OutcomeDone}
-	noted, void := c.ResolveEnd(after(100), end)
-	is.True(!noted && !void) // another entry may have accepted the job meanwhile
+	acked, void := c.ResolveEnd(after(100), end)
+	is.True(!acked && !void) // another entry may have accepted the job meanwhile
 	c.ApplyChanges(after(200), nil, after(90))
-	noted, _ = c.ResolveEnd(after(210), end)
-	is.True(!noted) // that poll was sent before the question
+	acked, _ = c.ResolveEnd(after(210), end)
+	is.True(!acked) // that poll was sent before the question
 	c.ApplyChanges(after(300), nil, after(250))
-	noted, _ = c.ResolveEnd(after(310), end)
-	is.True(noted)
+	acked, _ = c.ResolveEnd(after(310), end)
+	is.True(acked)
 	end.Key.Task = "j.0.0.1" // the finding holds for all tasks of the job
-	noted, _ = c.ResolveEnd(after(320), end)
-	is.True(noted)
+	acked, _ = c.ResolveEnd(after(320), end)
+	is.True(acked)
 }
 
 func TestEndOfAnEndedJobIsVoidUnlessItCompletedTheTask(t *testing.T) {
@@ -232,12 +232,12 @@
 	done.Row.State = batch.JobDone
 	done.Row.Progress = []batch.TaskProgress{{Done: true, Run: 2}}
 	c := newLoadedCore(done)
-	noted, void := c.ResolveEnd(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 2}, Outcome: runs.OutcomeDone})
-	is.True(noted && !void)
-	noted, void = c.ResolveEnd(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, Outcome: runs.OutcomeDone})
-	is.True(!noted && void) // another run completed the task
-	noted, void = c.ResolveEnd(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, Outcome: runs.OutcomeStopped})
-	is.True(noted && !void)
+	acked, void := c.ResolveEnd(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 2}, Outcome: runs.OutcomeDone})
+	is.True(acked && !void)
+	acked, void = c.ResolveEnd(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, Outcome: runs.OutcomeDone})
+	is.True(!acked && void) // another run completed the task
+	acked, void = c.ResolveEnd(start, runs.End{Key: runs.Key{Task: "j.0.0.0", Run: 1}, Outcome: runs.OutcomeStopped})
+	is.True(acked && !void)
 }
 
 func TestRowsOfEndedJobsAreRemovedAfterRetention(t *testing.T) {
--- a/core/ledger/write.go
+++ b/core/ledger/write.go
@@ -55,21 +55,21 @@
 }
 
 // HandleWriteResult handles the result of a write.
-func (c *Core) HandleWriteResult(now time.Time, w Write, o WriteResult) {
+func (c *Core) HandleWriteResult(now time.Time, w Write, result WriteResult) {
 	c.now = now
 	j := c.jobs[w.Job]
 	if j == nil || j.pendingWrite == nil || j.pendingWrite.id != w.id {
 		return // the changes have already shown the result
 	}
-	if o.Status == Conflict && o.Current.Row != nil && c.isFromWrite(w, o.Current.Row) {
-		o = WriteResult{Status: Applied, Version: o.Current.Version}
+	if result.Status == Conflict && result.Current.Row != nil && c.isFromWrite(w, result.Current.Row) {
+		result = WriteResult{Status: Applied, Version: result.Current.Version}
 	}
-	switch o.Status {
+	switch result.Status {
 	case Applied:
-		c.handleApplied(j, w, o.Version)
+		c.handleApplied(j, w, result.Version)
 	case Conflict:
 		j.pendingWrite = nil
-		c.handleConflict(j, w, o.Current)
+		c.handleConflict(j, w, result.Current)
 	case Rejected:
 		j.pendingWrite = nil
 		c.handleRejected(j, w)
--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -144,18 +144,18 @@
 	for range 3 {
 		w.round()
 	}
-	away := w.all[7]
-	w.partitioned[away] = true
+	isolated := w.all[7]
+	w.partitioned[isolated] = true
 	for _, a := range w.all {
-		if a != away {
-			w.views[a].MarkGone(start, away)
-			w.views[away].MarkGone(start, a)
+		if a != isolated {
+			w.views[a].MarkGone(start, isolated)
+			w.views[isolated].MarkGone(start, a)
 		}
 	}
 	w.round()
 	is.Equal(w.views[w.all[0]].AliveCount(), 19)
-	is.Equal(w.views[away].AliveCount(), 1)
-	w.partitioned[away] = false
+	is.Equal(w.views[isolated].AliveCount(), 1)
+	w.partitioned[isolated] = false
 	for range 4 {
 		w.round()
 	}
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -26,8 +26,8 @@
 
 // Numbers of rows in one read.
 const (
-	// AgentReadLimit is the number of rows that an agent without links to entries reads: a single live entry
-	// tells it of all others.
+	// AgentReadLimit is the number of rows that an agent without links to entries reads: a single
+	// live entry tells it of all others.
 	AgentReadLimit = 3
 	// EntryReadLimit is the number of rows that an entry reads from its own position on, its own row
 	// included.
--- a/core/subset/subset.go
+++ b/core/subset/subset.go
@@ -25,8 +25,8 @@
 
 // Limits of the subset of one agent.
 const (
-	// MaxLinks is the number of entries that an agent keeps links to. With fewer, the entries know the
-	// shared capacity of their agents better; with more, an entry finds free capacity on more
+	// MaxLinks is the number of entries that an agent keeps links to. With fewer, the entries know
+	// the shared capacity of their agents better; with more, an entry finds free capacity on more
 	// workers. In simulated bursts of load, jobs earn 0.86 of their value with four or six entries,
 	// 0.81 with ten, 0.74 with 16 and 0.60 with all 55.
 	MaxLinks = 6
@@ -88,9 +88,9 @@
 	return append(slices.Clone(local[:localCount]), remote[:remoteCount]...)
 }
 
-// ChooseOnDemand returns the entries that an agent links to in addition to its subset, because they are
-// short of agents. They are at most Total: after a network partition many entries may be short at
-// once, and each agent would otherwise link to all of them.
+// ChooseOnDemand returns the entries that an agent links to in addition to its subset, because they
+// are short of agents. They are at most MaxLinks: after a network partition many entries may be
+// short at once, and each agent would otherwise link to all of them.
 func ChooseOnDemand(agent string, short []runs.Entry) []runs.Entry {
 	return rank(agent, short)[:min(len(short), MaxLinks)]
 }
