--- a/service/batch/drains.go
+++ b/service/batch/drains.go
@@ -10,19 +10,19 @@
 	"peridotpick.example/wire/runs"
 )
 
-// drainsView is this entry's view of the drained data centres, shared by its goroutines.
-type drainsView struct {
+// drainView is this entry's view of the drained data centres, shared by its goroutines.
+type drainView struct {
 	mu    sync.Mutex
 	state drains.State
 }
 
-func (d *drainsView) view(now time.Time) runs.DrainView {
+func (d *drainView) view(now time.Time) runs.DrainView {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.state.View(now)
 }
 
-func (d *drainsView) update(now time.Time, v runs.DrainView) (changed bool) {
+func (d *drainView) update(now time.Time, v runs.DrainView) (changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.state.Update(now, v)
--- a/service/batch/durable.go
+++ b/service/batch/durable.go
@@ -34,12 +34,12 @@
 	Jobs(ctx context.Context) (Changes, error)
 	// JobChanges waits for changes after a position, at most for wait.
 	JobChanges(ctx context.Context, after uint64, wait time.Duration) (Changes, error)
-	// JobPartitions returns the number of partitions; each takes writes independently. JobPart returns
-	// the partition of a job, from 0.
+	// JobPartitions returns the number of partitions; each takes writes independently. JobPartition
+	// returns the partition of a job, from 0.
 	JobPartitions() int
 	JobPartition(job string) int
-	// WriteJobs carries out writes to one partition in one transaction, all or none. It returns an
-	// outcome for each, or an error if it is unknown whether they were carried out.
+	// WriteJobs carries out writes to one partition in one transaction, all or none. It returns a
+	// result for each, or an error if it is unknown whether they were carried out.
 	WriteJobs(ctx context.Context, writes []ledger.Write) ([]ledger.WriteResult, error)
 }
 
@@ -192,10 +192,10 @@
 
 // resolveUnowned answers an agent's question about the end of a run whose job the core does not run.
 func (d *durableJobs) resolveUnowned(now time.Time, u core.UnownedEnd) {
-	noted, void := d.ledger.ResolveEnd(now, u.End)
+	acked, void := d.ledger.ResolveEnd(now, u.End)
 	keys := []runs.Key{u.End.Key}
 	switch {
-	case noted:
+	case acked:
 		d.entry.core.ResolveEnds(now, u.Link, keys, nil)
 	case void:
 		d.entry.core.ResolveEnds(now, u.Link, nil, keys)
@@ -295,25 +295,25 @@
 }
 
 // startJob has the core run a job. A job whose queue is not in the configuration is not started.
-func (d *durableJobs) startJob(now time.Time, o *ledger.Acquisition) {
+func (d *durableJobs) startJob(now time.Time, acquired *ledger.Acquisition) {
 	e := d.entry
 	config := e.Catalog()
-	if config == nil || config.QueueByName(o.Row.Queue) == nil {
-		e.log.Warn().Str("job", o.Job).Str("queue", o.Row.Queue).Msg("entry: the queue of a durable job is not configured")
+	if config == nil || config.QueueByName(acquired.Row.Queue) == nil {
+		e.log.Warn().Str("job", acquired.Job).Str("queue", acquired.Row.Queue).Msg("entry: the queue of a durable job is not configured")
 		return
 	}
 	e.core.Own(now, &core.DurableJob{
-		Job: o.Job, Queue: config.QueueByName(o.Row.Queue), Version: config.Version, Spec: o.Row.Spec, Steps: o.Row.Steps,
-		Progress: o.Row.Progress, SafeAt: o.SafeAt,
+		Job: acquired.Job, Queue: config.QueueByName(acquired.Row.Queue), Version: config.Version, Spec: acquired.Row.Spec, Steps: acquired.Row.Steps,
+		Progress: acquired.Row.Progress, SafeAt: acquired.SafeAt,
 	})
 }
 
-func (d *durableJobs) logDecisions(now time.Time, notes []ledger.Decision) {
+func (d *durableJobs) logDecisions(now time.Time, decisions []ledger.Decision) {
 	e := d.entry
-	for i := range notes {
-		n := &notes[i]
-		telemetry.IncCounter("durable."+metricName(n.Event), e.deps.Metrics)
-		ok, leftOut := e.logBudget.Allow("durable "+n.Event, now)
+	for i := range decisions {
+		decision := &decisions[i]
+		telemetry.IncCounter("durable."+metricName(decision.Event), e.deps.Metrics)
+		ok, leftOut := e.logBudget.Allow("durable "+decision.Event, now)
 		if !ok {
 			continue
 		}
@@ -321,13 +321,13 @@
 		if leftOut > 0 {
 			line.Int("left_out", leftOut)
 		}
-		line.Str("job", n.Job).Str("queue", n.Queue).Uint64("row", n.Version).Uint64("epoch", n.Epoch).
-			Str("reason", n.Reason).Dur("confirmed", n.ConfirmationAge).Msg("route: durable " + n.Event)
+		line.Str("job", decision.Job).Str("queue", decision.Queue).Uint64("row", decision.Version).Uint64("epoch", decision.Epoch).
+			Str("reason", decision.Reason).Dur("confirmed", decision.ConfirmationAge).Msg("route: durable " + decision.Event)
 	}
 }
 
-// AcceptDurable stores a durable job and has it run. It returns once the job is stored or refused. If ctx
-// ends before that, it returns errkind.FateUnknown.
+// AcceptDurable stores a durable job and has it run. It returns once the job is stored or refused.
+// If ctx ends before that, it returns errkind.FateUnknown.
 func (e *Entry) AcceptDurable(ctx context.Context, name string, row *ledger.Row) errkind.Kind {
 	return e.durable.request(ctx, func(id ledger.RequestID, now time.Time) { e.durable.ledger.Accept(now, id, name, row) })
 }
--- a/service/batch/durable_test.go
+++ b/service/batch/durable_test.go
@@ -43,8 +43,8 @@
 			for range 50 {
 				e.durable.resolveUnowned(now, core.UnownedEnd{End: end})
 			}
-			noted, _ := e.durable.ledger.ResolveEnd(now, end)
-			resolved <- noted
+			acked, _ := e.durable.ledger.ResolveEnd(now, end)
+			resolved <- acked
 		})
 		return <-resolved
 	})
--- a/service/batch/entry.go
+++ b/service/batch/entry.go
@@ -121,7 +121,7 @@
 	pendingAnswers map[core.RequestID]chan core.Answer
 	nextID         atomic.Uint64
 	config         atomic.Pointer[Document]
-	drains         drainsView
+	drains         drainView
 	operatorPolls  pollSet
 	peers          *peers
 	durable        *durableJobs
@@ -174,7 +174,7 @@
 	return err
 }
 
-// Drain makes Ready report false.
+// Drain makes IsReady report false.
 func (e *Entry) Drain() {
 	e.draining.Store(true)
 	e.log.Info().Str("entry", e.settings.Name).Msg("entry: draining")
@@ -281,11 +281,11 @@
 const maxLinesPerSecond = 400
 
 // logDecisions counts decisions and logs them, within the rate limit of each kind of event.
-func (e *Entry) logDecisions(notes []core.Decision) {
-	for i := range notes {
-		n := &notes[i]
-		e.countDecision(n)
-		ok, leftOut := e.logBudget.Allow(n.Event+n.Outcome.String(), boottime.Now())
+func (e *Entry) logDecisions(decisions []core.Decision) {
+	for i := range decisions {
+		decision := &decisions[i]
+		e.countDecision(decision)
+		ok, leftOut := e.logBudget.Allow(decision.Event+decision.Outcome.String(), boottime.Now())
 		if !ok {
 			continue
 		}
@@ -293,13 +293,13 @@
 		if leftOut > 0 {
 			line.Int("left_out", leftOut)
 		}
-		addDecisionFields(line, n).Msg("route: " + n.Event)
+		addDecisionFields(line, decision).Msg("route: " + decision.Event)
 	}
 }
 
 // addDecisionFields adds to a log line what a decision is about and what it was based on. Fields
 // without a value are left out.
-func addDecisionFields(line *zerolog.Event, n *core.Decision) *zerolog.Event {
+func addDecisionFields(line *zerolog.Event, decision *core.Decision) *zerolog.Event {
 	addString := func(name, value string) {
 		if value != "" {
 			line.Str(name, value)
@@ -310,29 +310,29 @@
 			line.Dur(name, value)
 		}
 	}
-	addString("job", n.Job)
-	addString("queue", n.Queue)
-	if n.Version != 0 {
-		line.Uint64("config", n.Version)
+	addString("job", decision.Job)
+	addString("queue", decision.Queue)
+	if decision.Version != 0 {
+		line.Uint64("config", decision.Version)
 	}
-	if n.Key.Task != "" {
-		line.Str("task", n.Key.Task).Uint32("run", n.Key.Run)
+	if decision.Key.Task != "" {
+		line.Str("task", decision.Key.Task).Uint32("run", decision.Key.Run)
 	}
-	if n.Outcome != 0 {
-		line.Stringer("how", n.Outcome)
+	if decision.Outcome != 0 {
+		line.Stringer("how", decision.Outcome)
 	}
-	addString("agent", n.Agent)
-	addString("worker", n.Worker)
-	addString("reason", n.Reason)
-	addDuration("age", n.Age)
-	addDuration("expected", n.Expected)
-	addDuration("wait", n.Wait)
-	addDuration("slack", n.Slack)
-	if n.Deferred {
+	addString("agent", decision.Agent)
+	addString("worker", decision.Worker)
+	addString("reason", decision.Reason)
+	addDuration("age", decision.Age)
+	addDuration("expected", decision.Expected)
+	addDuration("wait", decision.Wait)
+	addDuration("slack", decision.Slack)
+	if decision.Deferred {
 		line.Bool("deferred", true)
 	}
-	if n.LostWorkers > 0 {
-		line.Int("workers_lost", n.LostWorkers).Int("blamed", n.BlamedCrashes)
+	if decision.LostWorkers > 0 {
+		line.Int("workers_lost", decision.LostWorkers).Int("blamed", decision.BlamedCrashes)
 	}
 	return line
 }
@@ -340,21 +340,21 @@
 func metricName(event string) string { return strings.ReplaceAll(event, " ", "_") }
 
 // countDecision updates the metrics of decisions.
-func (e *Entry) countDecision(n *core.Decision) {
-	name := metricName(n.Event)
-	switch n.Event {
+func (e *Entry) countDecision(decision *core.Decision) {
+	name := metricName(decision.Event)
+	switch decision.Event {
 	case "end":
-		name = "run." + n.Outcome.String()
+		name = "run." + decision.Outcome.String()
 	case "refuse", "defer", "give up":
-		name += "." + strings.ReplaceAll(n.Reason, " ", "_")
+		name += "." + strings.ReplaceAll(decision.Reason, " ", "_")
 	case "worker lost":
-		name += "." + n.Queue
+		name += "." + decision.Queue
 	case "done":
-		telemetry.Histogram("job.ms", e.deps.Metrics).Update(n.Age.Milliseconds())
+		telemetry.Histogram("job.ms", e.deps.Metrics).Update(decision.Age.Milliseconds())
 	}
 	telemetry.IncCounter("decisions."+name, e.deps.Metrics)
-	if n.Deferred {
-		telemetry.IncCounter("deferred."+deferredOutcomes[n.Event]+"."+n.Queue, e.deps.Metrics)
+	if decision.Deferred {
+		telemetry.IncCounter("deferred."+deferredOutcomes[decision.Event]+"."+decision.Queue, e.deps.Metrics)
 	}
 }
 
--- a/service/batch/partitionwriter.go
+++ b/service/batch/partitionwriter.go
@@ -93,14 +93,14 @@
 func (p *partitionWriter) commit(ctx context.Context, group []ledger.Write) {
 	certain := true // no attempt of unknown result may still be carried out
 	for attempt := 1; len(group) > 0 && ctx.Err() == nil; attempt++ {
-		outcomes, err := p.transact(ctx, group)
+		results, err := p.transact(ctx, group)
 		if err != nil {
 			p.entry.log.Warn().Err(err).Int("writes", len(group)).Msg("entry: the fate of writes to the store is not known")
 			certain = false
 			sleep(ctx, transactionRetryPause)
 			continue
 		}
-		again := p.reportFinal(group, outcomes, certain && attempt >= maxUrgentAttempts && allRejected(outcomes))
+		again := p.reportFinal(group, results, certain && attempt >= maxUrgentAttempts && allRejected(results))
 		if len(again) == len(group) {
 			sleep(ctx, transactionRetryPause)
 		}
@@ -113,36 +113,36 @@
 	callCtx, cancel := context.WithTimeout(ctx, p.timeout)
 	defer cancel()
 	began := time.Now()
-	outcomes, err := p.entry.deps.Store.WriteJobs(callCtx, group)
+	results, err := p.entry.deps.Store.WriteJobs(callCtx, group)
 	if err != nil {
 		p.timeout = min(2*p.timeout, maxTransactionTimeout)
 		return nil, err
 	}
 	p.timeout = min(max(timeoutFactor*time.Since(began), minTransactionTimeout), maxTransactionTimeout)
-	return outcomes, nil
+	return results, nil
 }
 
 // reportFinal reports the results that are final and returns the writes to repeat. Rejected writes
 // are repeated, such as the other writes of a group after a conflict, unless giveUp is set and they
 // are urgent.
-func (p *partitionWriter) reportFinal(group []ledger.Write, outcomes []ledger.WriteResult, giveUp bool) []ledger.Write {
+func (p *partitionWriter) reportFinal(group []ledger.Write, results []ledger.WriteResult, giveUp bool) []ledger.Write {
 	var again, final []ledger.Write
-	var results []ledger.WriteResult
+	var finalResults []ledger.WriteResult
 	for i, w := range group {
-		if outcomes[i].Status == ledger.Rejected && !(giveUp && w.Urgent) {
+		if results[i].Status == ledger.Rejected && !(giveUp && w.Urgent) {
 			again = append(again, w)
 			continue
 		}
 		final = append(final, w)
-		results = append(results, outcomes[i])
+		finalResults = append(finalResults, results[i])
 	}
-	p.report(final, results)
+	p.report(final, finalResults)
 	return again
 }
 
-func allRejected(outcomes []ledger.WriteResult) bool {
-	for _, o := range outcomes {
-		if o.Status != ledger.Rejected {
+func allRejected(results []ledger.WriteResult) bool {
+	for _, r := range results {
+		if r.Status != ledger.Rejected {
 			return false
 		}
 	}
@@ -150,13 +150,13 @@
 }
 
 // report hands the results of writes to the ledger, in the event loop.
-func (p *partitionWriter) report(writes []ledger.Write, outcomes []ledger.WriteResult) {
+func (p *partitionWriter) report(writes []ledger.Write, results []ledger.WriteResult) {
 	if len(writes) == 0 {
 		return
 	}
 	p.entry.post(func(_ *core.Core, now time.Time) {
 		for i, w := range writes {
-			p.entry.durable.ledger.HandleWriteResult(now, w, outcomes[i])
+			p.entry.durable.ledger.HandleWriteResult(now, w, results[i])
 		}
 	})
 }
--- a/service/batch/partitionwriter_test.go
+++ b/service/batch/partitionwriter_test.go
@@ -29,13 +29,13 @@
 	return answer(writes)
 }
 
-func outcomeForAll(fate ledger.WriteStatus) func([]ledger.Write) ([]ledger.WriteResult, error) {
+func resultForAll(status ledger.WriteStatus) func([]ledger.Write) ([]ledger.WriteResult, error) {
 	return func(writes []ledger.Write) ([]ledger.WriteResult, error) {
-		outcomes := make([]ledger.WriteResult, len(writes))
-		for i := range outcomes {
-			outcomes[i].Status = fate
+		results := make([]ledger.WriteResult, len(writes))
+		for i := range results {
+			results[i].Status = status
 		}
-		return outcomes, nil
+		return results, nil
 	}
 }
 
@@ -54,7 +54,7 @@
 func TestTransactionOfUnknownResultIsRepeatedUnchanged(t *testing.T) {
 	is := is.New(t)
 	group := []ledger.Write{{Job: "a", Urgent: true}, {Job: "b"}}
-	made := commitGroup(t, group, noAnswer, noAnswer, outcomeForAll(ledger.Rejected), outcomeForAll(ledger.Rejected), outcomeForAll(ledger.Rejected), outcomeForAll(ledger.Applied))
+	made := commitGroup(t, group, noAnswer, noAnswer, resultForAll(ledger.Rejected), resultForAll(ledger.Rejected), resultForAll(ledger.Rejected), resultForAll(ledger.Applied))
 	// A write that may have been carried out is never given up, however often it is rejected.
 	is.Equal(len(made), 6)
 	for _, m := range made {
@@ -64,8 +64,8 @@
 
 func TestOnlyUrgentWritesFailAfterRejections(t *testing.T) {
 	is := is.New(t)
-	rejected := outcomeForAll(ledger.Rejected)
-	made := commitGroup(t, []ledger.Write{{Job: "a", Urgent: true}, {Job: "b"}}, rejected, rejected, rejected, rejected, outcomeForAll(ledger.Applied))
+	rejected := resultForAll(ledger.Rejected)
+	made := commitGroup(t, []ledger.Write{{Job: "a", Urgent: true}, {Job: "b"}}, rejected, rejected, rejected, rejected, resultForAll(ledger.Applied))
 	is.Equal(len(made), 5)
 	is.Equal(made[3], []ledger.Write{{Job: "b"}})
 }
@@ -75,7 +75,7 @@
 	conflict := func([]ledger.Write) ([]ledger.WriteResult, error) {
 		return []ledger.WriteResult{{Status: ledger.Conflict}, {Status: ledger.Rejected}}, nil
 	}
-	made := commitGroup(t, []ledger.Write{{Job: "a"}, {Job: "b"}}, conflict, outcomeForAll(ledger.Applied))
+	made := commitGroup(t, []ledger.Write{{Job: "a"}, {Job: "b"}}, conflict, resultForAll(ledger.Applied))
 	is.Equal(len(made), 2)
 	is.Equal(made[1], []ledger.Write{{Job: "b"}})
 }
--- a/service/explain/explain.go
+++ b/service/explain/explain.go
@@ -37,22 +37,22 @@
 }
 
 // Read adds the lines about a job from one log. source is the name of the log.
-func (s *Timeline) Read(source string, log io.Reader, job string) error {
+func (t *Timeline) Read(source string, log io.Reader, job string) error {
 	reader := bufio.NewReaderSize(log, maxLineBytes)
 	for {
 		raw, err := reader.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
 			err = skipLine(reader)
-			s.Unparsed++
+			t.Unparsed++
 			raw = nil
 		}
 		if len(raw) > 0 && strings.Contains(string(raw), job) {
-			s.addLine(source, raw, job)
+			t.addLine(source, raw, job)
 		}
 		switch err {
 		case nil:
 		case io.EOF:
-			s.sortByTime()
+			t.sortByTime()
 			return nil
 		default:
 			return eris.Wrapf(err, "read %s", source)
@@ -71,11 +71,11 @@
 
 // addLine decodes a line and adds it if it is about the job. Other software may have put a prefix
 // in front of the JSON, such as a time or a name; the line is decoded from its first brace on.
-func (s *Timeline) addLine(source string, raw []byte, job string) {
+func (t *Timeline) addLine(source string, raw []byte, job string) {
 	start := strings.IndexByte(string(raw), '{')
 	fields := make(map[string]any)
 	if start < 0 || json.Unmarshal(raw[start:], &fields) != nil {
-		s.Unparsed++
+		t.Unparsed++
 		return
 	}
 	if prefix := strings.Fields(string(raw[:start])); len(prefix) > 0 {
@@ -86,14 +86,14 @@
 	}
 	when, err := time.Parse(time.RFC3339Nano, asString(fields["time"]))
 	if err != nil {
-		s.Unparsed++
+		t.Unparsed++
 		return
 	}
 	event := asString(fields["message"])
 	for _, known := range []string{"time", "message", "level", "part", "job"} {
 		delete(fields, known)
 	}
-	s.Lines = append(s.Lines, Line{At: when, Source: source, Event: event, Fields: fields})
+	t.Lines = append(t.Lines, Line{At: when, Source: source, Event: event, Fields: fields})
 }
 
 // asString returns a JSON value as a string; empty if it is none.
@@ -102,17 +102,17 @@
 	return s
 }
 
-func (s *Timeline) sortByTime() {
-	sort.SliceStable(s.Lines, func(i, j int) bool { return s.Lines[i].At.Before(s.Lines[j].At) })
+func (t *Timeline) sortByTime() {
+	sort.SliceStable(t.Lines, func(i, j int) bool { return t.Lines[i].At.Before(t.Lines[j].At) })
 }
 
 // endEvents are the events of an entry that explain the end of a job, in the order of precedence.
 var endEvents = []string{"route: refuse", "route: give up", "route: caller gone", "route: done"}
 
 // End returns the line that explains how the job ended; ok is false if there is none.
-func (s *Timeline) End() (line Line, ok bool) {
+func (t *Timeline) End() (line Line, ok bool) {
 	for _, event := range endEvents {
-		for _, l := range s.Lines {
+		for _, l := range t.Lines {
 			if l.Event == event {
 				return l, true
 			}
@@ -122,9 +122,9 @@
 }
 
 // Causes counts the runs that did not complete, by outcome, reason and worker.
-func (s *Timeline) Causes() map[string]int {
+func (t *Timeline) Causes() map[string]int {
 	causes := make(map[string]int)
-	for _, l := range s.Lines {
+	for _, l := range t.Lines {
 		if l.Event != "route: end" || l.Fields["how"] == "done" {
 			continue
 		}
@@ -134,9 +134,9 @@
 }
 
 // Print writes all lines, each with the time since the previous one, and then how the job ended.
-func (s *Timeline) Print(w io.Writer) error {
+func (t *Timeline) Print(w io.Writer) error {
 	var previous time.Time
-	for _, l := range s.Lines {
+	for _, l := range t.Lines {
 		since := time.Duration(0)
 		if !previous.IsZero() {
 			since = l.At.Sub(previous)
@@ -147,12 +147,12 @@
 			return eris.Wrap(err, "print")
 		}
 	}
-	return s.printEnd(w)
+	return t.printEnd(w)
 }
 
 // printEnd writes how the job ended, why it was late, and which runs did not complete.
-func (s *Timeline) printEnd(w io.Writer) error {
-	end, ok := s.End()
+func (t *Timeline) printEnd(w io.Writer) error {
+	end, ok := t.End()
 	if !ok {
 		_, err := fmt.Fprintln(w, "the logs do not tell how it ended")
 		return eris.Wrap(err, "print")
@@ -160,12 +160,12 @@
 	if _, err := fmt.Fprintf(w, "ended: %s %s\n", end.Event, formatFields(end.Fields)); err != nil {
 		return eris.Wrap(err, "print")
 	}
-	if late, known := s.Late(); known && end.Event == "route: done" {
+	if late, known := t.Late(); known && end.Event == "route: done" {
 		if _, err := fmt.Fprintf(w, "  %s\n", late); err != nil {
 			return eris.Wrap(err, "print")
 		}
 	}
-	causes := s.Causes()
+	causes := t.Causes()
 	names := make([]string, 0, len(causes))
 	for name := range causes {
 		names = append(names, name)
--- a/service/explain/explain_test.go
+++ b/service/explain/explain_test.go
@@ -19,31 +19,31 @@
 
 func TestReadMergesLogsInOrderOfTime(t *testing.T) {
 	is := is.New(t)
-	var s Timeline
-	is.NoErr(s.Read("entry.log", strings.NewReader(entryLog), "00000000000000aa"))
-	is.NoErr(s.Read("agent.log", strings.NewReader(agentLog), "00000000000000aa"))
+	var timeline Timeline
+	is.NoErr(timeline.Read("entry.log", strings.NewReader(entryLog), "00000000000000aa"))
+	is.NoErr(timeline.Read("agent.log", strings.NewReader(agentLog), "00000000000000aa"))
 	var events []string
-	for _, l := range s.Lines {
+	for _, l := range timeline.Lines {
 		events = append(events, l.Source+" "+l.Event)
 	}
 	is.Equal(events, []string{"entry.log route: admit", "side-1 agent: end stopped", "entry.log route: end", "entry.log route: give up"})
-	is.Equal(s.Unparsed, 2)
-	end, ok := s.End()
+	is.Equal(timeline.Unparsed, 2)
+	end, ok := timeline.End()
 	is.True(ok)
 	is.Equal(end.Fields["reason"], "deadline")
-	is.Equal(s.Causes(), map[string]int{"stopped no-worker on w1": 1})
+	is.Equal(timeline.Causes(), map[string]int{"stopped no-worker on w1": 1})
 	var b strings.Builder
-	is.NoErr(s.Print(&b))
+	is.NoErr(timeline.Print(&b))
 	is.True(strings.Contains(b.String(), "ended: route: give up reason=deadline"))
 }
 
 func TestLongLinesAreSkipped(t *testing.T) {
 	is := is.New(t)
-	var s Timeline
+	var timeline Timeline
 	log := strings.Repeat("x", 3*maxLineBytes) + "\n" + agentLog
-	is.NoErr(s.Read("a", strings.NewReader(log), "00000000000000aa"))
-	is.Equal(len(s.Lines), 1)
-	_, ok := s.End()
+	is.NoErr(timeline.Read("a", strings.NewReader(log), "00000000000000aa"))
+	is.Equal(len(timeline.Lines), 1)
+	_, ok := timeline.End()
 	is.Equal(ok, false)
 }
 
@@ -59,9 +59,9 @@
 
 func TestLateNamesCauseOfDelay(t *testing.T) {
 	is := is.New(t)
-	var s Timeline
-	is.NoErr(s.Read("all", strings.NewReader(lateLogs), "j"))
-	late, ok := s.Late()
+	var timeline Timeline
+	is.NoErr(timeline.Read("all", strings.NewReader(lateLogs), "j"))
+	late, ok := timeline.Late()
 	is.True(ok)
 	is.Equal(late, LastTask{Task: "j.0.0.0", Worker: "w1", StartDelay: 1, Waited: 135, Ran: 65, ExpectedWait: 10, ExpectedRun: 60})
 	is.Equal(late.Cause(), "it waited for room")
@@ -70,6 +70,6 @@
 	is.Equal(LastTask{StartDelay: 300, Deferred: true}.Cause(), "the job was deferred until room stayed free")
 	is.Equal(LastTask{Ran: 300, Deferred: true}.Cause(), "it ran long") // deferred, but not for long
 	var b strings.Builder
-	is.NoErr(s.Print(&b))
+	is.NoErr(timeline.Print(&b))
 	is.True(strings.Contains(b.String(), "last to end: j.0.0.0 on w1, began after 1.0 ms, waited 135.0 ms (10.0 expected), ran 65.0 ms (60.0 expected), it waited for room"))
 }
--- a/service/explain/late.go
+++ b/service/explain/late.go
@@ -20,21 +20,21 @@
 
 // Late returns the task that ended last; ok is false if the logs lack its start at the entry or its
 // end at the agent.
-func (s *Timeline) Late() (late LastTask, ok bool) {
-	end := s.lastLine("route: end", "", nil)
+func (t *Timeline) Late() (late LastTask, ok bool) {
+	end := t.lastLine("route: end", "", nil)
 	if end == nil {
 		return late, false
 	}
 	task := asString(end.Fields["task"])
-	start := s.lastLine("route: start", task, end)
-	atAgent := s.lastLine("agent: end done", task, nil)
+	start := t.lastLine("route: start", task, end)
+	atAgent := t.lastLine("agent: end done", task, nil)
 	if start == nil || atAgent == nil {
 		return late, false
 	}
 	late = LastTask{
 		Task: task, Worker: asString(end.Fields["worker"]), Ran: asFloat(atAgent.Fields["age"]),
-		StartDelay:   float64(start.At.Sub(s.Lines[0].At).Microseconds()) / 1000,
-		ExpectedWait: asFloat(start.Fields["wait"]), Deferred: s.lastLine("route: defer", "", nil) != nil,
+		StartDelay:   float64(start.At.Sub(t.Lines[0].At).Microseconds()) / 1000,
+		ExpectedWait: asFloat(start.Fields["wait"]), Deferred: t.lastLine("route: defer", "", nil) != nil,
 	}
 	late.Waited = max(asFloat(end.Fields["age"])-late.Ran, 0)
 	late.ExpectedRun = max(asFloat(start.Fields["expected"])-late.ExpectedWait, 0)
@@ -44,9 +44,9 @@
 // lastLine returns the last line of an event. If given, task limits it to the lines of a task,
 // and before to lines that are not later than another one. An end of a run counts only if the run
 // was done.
-func (s *Timeline) lastLine(event, task string, before *Line) *Line {
-	for i := len(s.Lines) - 1; i >= 0; i-- {
-		l := &s.Lines[i]
+func (t *Timeline) lastLine(event, task string, before *Line) *Line {
+	for i := len(t.Lines) - 1; i >= 0; i-- {
+		l := &t.Lines[i]
 		switch {
 		case l.Event != event, task != "" && asString(l.Fields["task"]) != task:
 		case before != nil && l.At.After(before.At):
--- a/service/lifecycle/lifecycle.go
+++ b/service/lifecycle/lifecycle.go
@@ -1,5 +1,5 @@
 // Package lifecycle runs the goroutines of a process until it is asked to stop, and then lets it
-// drain. Entries and agents of both kinds use it.
+// drain. Entries and agents use it.
 package lifecycle
 
 import (
--- a/service/runner/agent.go
+++ b/service/runner/agent.go
@@ -32,7 +32,7 @@
 	// Order sends a start or a stop.
 	Order(core.Order) core.Answer
 	// Poll renews the lease and lists the running and the ended runs. The worker holds its
-	// answer back until a run ends, at most for Look.Wait.
+	// answer back until a run ends, at most for Poll.Wait.
 	Poll(core.Poll) (core.Answer, core.Listing)
 }
 
@@ -302,9 +302,9 @@
 const logLinesPerSecond = 200
 
 // logDecision counts a decision of the core and logs it within the budget.
-func (a *Agent) logDecision(n *core.Decision) {
-	telemetry.IncCounter("decisions."+strings.ReplaceAll(n.Event, " ", "_"), a.deps.Metrics)
-	ok, leftOut := a.logBudget.Allow(n.Event, boottime.Now())
+func (a *Agent) logDecision(decision *core.Decision) {
+	telemetry.IncCounter("decisions."+strings.ReplaceAll(decision.Event, " ", "_"), a.deps.Metrics)
+	ok, leftOut := a.logBudget.Allow(decision.Event, boottime.Now())
 	if !ok {
 		return
 	}
@@ -312,22 +312,22 @@
 	if leftOut > 0 {
 		line.Int("left_out", leftOut)
 	}
-	if n.Key.Task != "" {
-		line.Str("task", n.Key.Task).Uint32("run", n.Key.Run).Str("entry", n.Entry)
+	if decision.Key.Task != "" {
+		line.Str("task", decision.Key.Task).Uint32("run", decision.Key.Run).Str("entry", decision.Entry)
 	}
-	if n.Version != 0 {
-		line.Uint64("version", n.Version)
+	if decision.Version != 0 {
+		line.Uint64("version", decision.Version)
 	}
-	if n.Worker.ID != "" {
-		line.Str("worker", n.Worker.ID).Int64("born", n.Worker.Born).Int64("former_born", n.Previous.Born)
+	if decision.Worker.ID != "" {
+		line.Str("worker", decision.Worker.ID).Int64("born", decision.Worker.Born).Int64("former_born", decision.Previous.Born)
 	}
-	if n.Reason != runs.NoReason {
-		line.Stringer("reason", n.Reason)
+	if decision.Reason != runs.NoReason {
+		line.Stringer("reason", decision.Reason)
 	}
-	if n.Age != 0 {
-		line.Dur("age", n.Age)
+	if decision.Age != 0 {
+		line.Dur("age", decision.Age)
 	}
-	line.Msg("agent: " + n.Event)
+	line.Msg("agent: " + decision.Event)
 }
 
 // publishMetrics updates the gauges and logs the traffic.
--- a/service/telemetry/telemetry_test.go
+++ b/service/telemetry/telemetry_test.go
@@ -49,21 +49,21 @@
 // TestProfilesAreServedOnlyIfEnabled checks that profiles, which cost CPU time, are off by default.
 func TestProfilesAreServedOnlyIfEnabled(t *testing.T) {
 	is := is.New(t)
-	for _, asked := range []bool{false, true} {
+	for _, enabled := range []bool{false, true} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		is.NoErr(err)
 		address := l.Addr().String()
 		is.NoErr(l.Close())
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
-		go func() { ended <- Serve(ctx, address, metrics.NewRegistry(), asked) }()
+		go func() { ended <- Serve(ctx, address, metrics.NewRegistry(), enabled) }()
 		resp, err := http.Get("http://" + address + "/debug/pprof/heap")
 		for tries := 0; err != nil && tries < 1000; tries++ {
 			time.Sleep(5 * time.Millisecond)
 			resp, err = http.Get("http://" + address + "/debug/pprof/heap")
 		}
 		is.NoErr(err)
-		is.Equal(resp.StatusCode == http.StatusOK, asked)
+		is.Equal(resp.StatusCode == http.StatusOK, enabled)
 		is.NoErr(resp.Body.Close())
 		cancel()
 		is.NoErr(<-ended)
