--- a/core/ledger/follow.go
+++ b/core/ledger/follow.go
@@ -81,7 +81,7 @@
 	// sweepInterval is the time between two searches for rows to remove, maxRemovalsPerSweep the
 	// number of rows that one search removes at most.
 	sweepInterval = 5 * time.Second
-	// unknownRetention is how long a question for an unknown job is remembered after it was first
+	// unknownRetention is how long a question about an unknown job is remembered after it was first
 	// asked. Agents repeat a question after a far shorter time.
 	unknownRetention    = 30 * time.Second
 	maxRemovalsPerSweep = 200
@@ -177,7 +177,7 @@
 	return h.Sum64()
 }
 
-// forgetUnknown removes the questions for unknown jobs that are older than unknownRetention.
+// forgetUnknown removes the questions about unknown jobs that are older than unknownRetention.
 func (c *Core) forgetUnknown() {
 	for name, asked := range c.unknownSince {
 		if c.now.Sub(asked) > unknownRetention {
--- a/core/ledger/write.go
+++ b/core/ledger/write.go
@@ -106,7 +106,7 @@
 	c.handleRowChange(j)
 }
 
-// handleInserted handles that the first row of a job is stored: the job is accepted and is to run.
+// handleInserted handles the first stored row of a job: the job is accepted and is to run.
 func (c *Core) handleInserted(j *job) {
 	for _, id := range j.insertRequests {
 		c.answer(id, errkind.OK)
--- a/service/batch/exchange.go
+++ b/service/batch/exchange.go
@@ -200,7 +200,7 @@
 		x.wakeSender()
 	}
 	if msg.Closing {
-		delete(p.lastHeard, x.address) // the entry has not gone
+		delete(p.lastHeard, x.address) // the entry is not gone
 		x.address = ""
 	}
 	if msg.AliveDigest == p.view.Digest() {
--- a/service/lifecycle/lifecycle.go
+++ b/service/lifecycle/lifecycle.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Routine is a routine that one goroutine of a process runs until its context ends.
+// Routine is a function that one goroutine of a process runs until its context ends.
 type Routine func(ctx context.Context) error
 
 // Process describes a process to Run.
--- a/service/runner/agent.go
+++ b/service/runner/agent.go
@@ -58,7 +58,7 @@
 	Metrics   metrics.Registry
 }
 
-// Settings configure an Agent.
+// Settings configures an Agent.
 type Settings struct {
 	// Name is the name of the agent's instance.
 	Name string
