--- a/core/ledger/follow.go
+++ b/core/ledger/follow.go
@@ -81,7 +81,7 @@
 	// sweepInterval is the time between two searches for rows to remove, maxRemovalsPerSweep the
 	// number of rows that one search removes at most.
 	sweepInterval = 5 * time.Second
-	// unknownRetention is how long a question for an unknown job is remembered after it was first
+	// unknownRetention is how long a question about an unknown job is remembered after it was first
 	// asked. Agents repeat a question after a far shorter time.
 	unknownRetention    = 30 * time.Second
 	maxRemovalsPerSweep = 200
@@ -132,7 +132,7 @@
 
 // goneSince returns since when an owner is gone; zero if it is not. That is certain if another
 // process answers at the owner's address. Otherwise the owner has only been silent for longer than
-// SilentAfter and may still be alive.
+// SilenceTimeout and may still be alive.
 func (c *Core) goneSince(owner runs.Entry) (since time.Time, certain bool) {
 	if owner.Address == c.settings.Self.Address {
 		return c.startedAt, true
@@ -177,7 +177,7 @@
 	return h.Sum64()
 }
 
-// forgetUnknown removes the questions for unknown jobs that are older than unknownRetention.
+// forgetUnknown removes the questions about unknown jobs that are older than unknownRetention.
 func (c *Core) forgetUnknown() {
 	for name, asked := range c.unknownSince {
 		if c.now.Sub(asked) > unknownRetention {
--- a/service/lifecycle/lifecycle.go
+++ b/service/lifecycle/lifecycle.go
@@ -1,5 +1,5 @@
 // Package lifecycle runs the goroutines of a process until it is asked to stop, and then lets it
-// drain. Entries and agents of both kinds use it.
+// drain. Entries and agents use it.
 package lifecycle
 
 import (
@@ -9,7 +9,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Routine is a routine that one goroutine of a process runs until its context ends.
+// Routine is a function that one goroutine of a process runs until its context ends.
 type Routine func(ctx context.Context) error
 
 // Process describes a process to Run.
