--- a/cmd/peridotpick/dispatch.go
+++ b/cmd/peridotpick/dispatch.go
@@ -73,7 +73,7 @@
 	// outages of the store, 4.5 s; a longer outage stops the durable jobs of the entries that it
 	// affects.
 	ownershipTTL = 5500 * time.Millisecond
-	// ownerSilenceTimeout is the silence after which another entry is taken to be gone: five missed
+	// ownerSilenceTimeout is the silence after which another entry counts as gone: five missed
 	// messages between entries.
 	ownerSilenceTimeout = 2 * time.Second
 	// retentionSlack is how much longer than the platform requires the state of an ended job is
--- a/cmd/peridotpick/emulate.go
+++ b/cmd/peridotpick/emulate.go
@@ -67,11 +67,11 @@
 	if cmd.Bool("compare") {
 		return comparePolicies(ctx, cmd, d, scenarios, without)
 	}
-	outcomes, err := simulateAll(ctx, cmd, d, scenarios, without)
+	results, err := simulateAll(ctx, cmd, d, scenarios, without)
 	if err != nil {
 		return err
 	}
-	return reportOutcomes(cmd, outcomes)
+	return reportResults(cmd, results)
 }
 
 // loadScenarios loads the scenarios that the flags of a command name, or all built-in ones.
@@ -111,44 +111,44 @@
 
 // simulateAll runs an experiment, a trial for each seed, for each scenario.
 func simulateAll(ctx context.Context, cmd *cli.Command, d *emulator.Deployment, list []*emulator.Scenario, p policy.Policy) ([]*emulator.ExperimentResult, error) {
-	var outcomes []*emulator.ExperimentResult
+	var results []*emulator.ExperimentResult
 	for _, s := range list {
 		e := emulator.Experiment{
 			Deployment: d, Scenario: s, Policy: p, FirstSeed: cmd.Uint64("first"), Seeds: cmd.Int("seeds"), Parallelism: cmd.Int("jobs"),
 		}
-		o, err := e.Run(ctx)
+		result, err := e.Run(ctx)
 		if err != nil {
 			return nil, err
 		}
-		outcomes = append(outcomes, o)
+		results = append(results, result)
 	}
-	return outcomes, nil
+	return results, nil
 }
 
-// reportOutcomes prints outcomes, and plots them if a folder for the report is given. The error
-// tells if a guarantee was violated in a trial.
-func reportOutcomes(cmd *cli.Command, outcomes []*emulator.ExperimentResult) error {
+// reportResults prints the results of experiments, and plots them if a folder for the report is
+// given. It returns an error if a guarantee was violated in a trial.
+func reportResults(cmd *cli.Command, results []*emulator.ExperimentResult) error {
 	if cmd.String("output") == outputJSON {
-		if err := json.NewEncoder(os.Stdout).Encode(outcomes); err != nil {
+		if err := json.NewEncoder(os.Stdout).Encode(results); err != nil {
 			return err
 		}
 	} else {
 		table := emulator.PrintHeader(os.Stdout)
-		for _, o := range outcomes {
-			o.PrintRow(table)
+		for _, result := range results {
+			result.PrintRow(table)
 		}
 		if err := table.Flush(); err != nil {
 			return err
 		}
 	}
 	var violations []string
-	for _, o := range outcomes {
+	for _, result := range results {
 		if dir := cmd.String("report"); dir != "" {
-			if err := o.Draw(dir); err != nil {
+			if err := result.Draw(dir); err != nil {
 				return err
 			}
 		}
-		violations = append(violations, o.Violations()...)
+		violations = append(violations, result.Violations()...)
 	}
 	if len(violations) > 0 {
 		return errkind.New(errkind.Internal, fmt.Sprintf("%d guarantees violated, the first: %s", len(violations), violations[0]))
--- a/common/config/config.go
+++ b/common/config/config.go
@@ -290,8 +290,8 @@
 }
 
 // Authenticate returns the holder of a bearer token, and false if the token is unknown or has
-// expired. It compares with all stored hashes in constant time, so that its duration tells nothing
-// about them.
+// expired. It compares with all stored hashes in constant time, so that its duration reveals
+// nothing about them.
 func (c *CompiledDocument) Authenticate(token string, now time.Time) (Identity, bool) {
 	hash := sha256.Sum256([]byte(token))
 	var holder Identity
--- a/common/config/config_test.go
+++ b/common/config/config_test.go
@@ -23,7 +23,7 @@
 	return []byte(strings.Replace(text, "HASH", HashToken("secret"), 1))
 }
 
-func TestCompiled(t *testing.T) {
+func TestValidDocumentIsCompiled(t *testing.T) {
 	is := is.New(t)
 	c, err := Parse(document("", ""))
 	is.NoErr(err)
--- a/common/incarnation/incarnation.go
+++ b/common/incarnation/incarnation.go
@@ -1,5 +1,6 @@
 // Package incarnation generates incarnation numbers. An incarnation is one run of a process, from
-// its start to its end; its number tells it from other processes and from previous runs of itself.
+// its start to its end; its number distinguishes it from other processes and from previous runs of
+// itself.
 package incarnation
 
 import (
--- a/common/label/label.go
+++ b/common/label/label.go
@@ -56,8 +56,8 @@
 	return true
 }
 
-// UnmatchedTerm returns the first term that holds for none of sets, and true, or "" and false if each
-// term holds for at least one set. It tells a caller which term of a selector no worker meets.
+// UnmatchedTerm returns the first term that holds for none of sets, and true, or "" and false if
+// each term holds for at least one set. The term shows a caller why no worker matches a selector.
 func (s Selector) UnmatchedTerm(sets []Set) (string, bool) {
 	for i := range s.terms {
 		if !anyMatches(&s.terms[i], sets) {
--- a/common/label/label_test.go
+++ b/common/label/label_test.go
@@ -41,12 +41,12 @@
 	is.Equal(err.Error(), "too-large: tasks[2].selector: selector has 1025 bytes, at most 1024")
 }
 
-func TestFailedTerm(t *testing.T) {
+func TestUnmatchedTerm(t *testing.T) {
 	is := is.New(t)
 	s, err := Parse("selector", "gpu,cores>64")
 	is.NoErr(err)
-	term, failed := s.UnmatchedTerm([]Set{worker})
-	is.True(failed)
+	term, unmatched := s.UnmatchedTerm([]Set{worker})
+	is.True(unmatched)
 	is.Equal(term, "cores>64")
 }
 
--- a/common/settings/problems.go
+++ b/common/settings/problems.go
@@ -59,8 +59,8 @@
 	return fmt.Sprintf("%s: %s: allowed: %s", p.Path, p.Value, p.Allowed)
 }
 
-// AsInvalidRequest returns an InvalidRequest error with all mistakes, to answer a caller with. The path of the
-// first is its field, so p must not be empty.
+// AsInvalidRequest returns an InvalidRequest error with all mistakes, to answer a caller with. Its
+// field is the path of the first mistake, so p must not be empty.
 func (p Problems) AsInvalidRequest() *errkind.Error {
 	return errkind.NewField(errkind.InvalidRequest, p[0].Path, p.Error())
 }
--- a/wire/runs/messages.go
+++ b/wire/runs/messages.go
@@ -15,13 +15,13 @@
 // all, and the agent recognises an old order by its own clock.
 //
 // Reconnecting. After each hello the entry lists the runs that it believes the agent to have
-// (Owned). The agent adopts those that run and answers the others with an end. A broken link
-// therefore stops no run before the lease has expired.
+// (ToAgent.Owned). The agent adopts those that run and answers the others with an end. A broken
+// link therefore stops no run before the lease has expired.
 //
 // Durable jobs. The worker keeps the end of a run of a durable job until its agent acknowledges
-// the end. The agent does so only once the entry has stored the end (Noted). If an end is not
-// stored for a while, the agent asks all linked entries about it (Unowned), so that an entry
-// that has taken the job over learns of the end.
+// the end. The agent does so only once the entry has stored the end (ToAgent.AckedEnds). If an end
+// is not stored for a while, the agent asks all linked entries about it (ToEntry.UnownedEnds), so
+// that an entry that has taken the job over learns of the end.
 package runs
 
 import (
@@ -78,8 +78,8 @@
 	Born int64 `cbor:"10,keyasint,omitempty"`
 }
 
-// Incarnation identifies one incarnation of a backend server. A restarted server may keep its ID, but it
-// has lost its runs and its leases.
+// Incarnation identifies one incarnation of a backend server, by its ID and its start time. A
+// restarted server may keep its ID, but it has lost its runs and its leases.
 type Incarnation struct {
 	ID   string
 	Born int64
@@ -126,14 +126,14 @@
 // Isolation is the level of isolation that a task gets on its worker because it may crash workers.
 type Isolation uint8
 
-// Levels of suspicion.
+// Isolation levels.
 const (
-	// IsolationNone tasks run next to any other task.
+	// IsolationNone: the task may run next to any other task.
 	IsolationNone Isolation = iota
-	// IsolationFromSuspects tasks run next to no other suspected task, so that the next crash shows which
-	// of them is the cause.
+	// IsolationFromSuspects: the task may not run next to another suspect, so that the next crash
+	// shows which of them is the cause.
 	IsolationFromSuspects
-	// IsolationExclusive tasks run next to no other task.
+	// IsolationExclusive: the task may not run next to any other task.
 	IsolationExclusive
 )
 
@@ -141,8 +141,8 @@
 // answer may resend its job to any entry.
 type Suspect struct {
 	Task string `cbor:"1,keyasint"`
-	// LostWorkers is the number of workers that were lost while they ran the task, Blamed the number
-	// of those crashes that are attributed to it.
+	// LostWorkers is the number of workers that were lost while they ran the task, BlamedCrashes
+	// the number of those crashes that are attributed to it.
 	LostWorkers   int `cbor:"2,keyasint"`
 	BlamedCrashes int `cbor:"3,keyasint,omitempty"`
 }
@@ -155,7 +155,7 @@
 	Durable  bool           `cbor:"4,keyasint,omitempty"`
 }
 
-// Outcome is the outcome of a run.
+// Outcome is how a run ended.
 type Outcome uint8
 
 // Outcomes of a run.
@@ -172,11 +172,11 @@
 	OutcomeGone
 )
 
-// String returns the name of h that appears in logs.
-func (h Outcome) String() string {
+// String returns the name of o that appears in logs.
+func (o Outcome) String() string {
 	names := [...]string{"unknown", "done", "failed", "stopped", "refused", "gone"}
-	if int(h) < len(names) {
-		return names[h]
+	if int(o) < len(names) {
+		return names[o]
 	}
 	return names[0]
 }
@@ -371,7 +371,8 @@
 	Config     []byte `cbor:"4,keyasint,omitempty"`
 	ConfigFrom int    `cbor:"8,keyasint,omitempty"`
 	ConfigSize int    `cbor:"9,keyasint,omitempty"`
-	// WantConfig asks for the chunk of the receiver's configuration that begins at byte WantFrom.
+	// WantConfig asks for the chunk of the receiver's configuration that begins at byte
+	// WantConfigFrom.
 	WantConfig     bool `cbor:"5,keyasint,omitempty"`
 	WantConfigFrom int  `cbor:"10,keyasint,omitempty"`
 	// AliveDigest is a hash of the entries that the sender considers alive.
@@ -380,6 +381,6 @@
 	Closing bool `cbor:"7,keyasint,omitempty"`
 	// Drains is the sender's view of the drained data centres.
 	Drains DrainView `cbor:"11,keyasint"`
-	// Suspects are suspected tasks that the receiver may not know.
+	// Suspects are tasks that may crash workers and that the receiver may not know as such.
 	Suspects []Suspect `cbor:"12,keyasint,omitempty"`
 }
