--- a/core/agentcore/core.go
+++ b/core/agentcore/core.go
@@ -1,5 +1,5 @@
 // Package agentcore is the decision core of an agent whose backend server has slots. It admits
-// tasks into a queue and the slots, refuses the messages of former owners of a submission by its
+// tasks into a queue and the slots, refuses the messages of previous owners of a submission by its
 // epoch, and retains results until their owner acknowledges them.
 //
 // The core is a deterministic state machine. Its methods are the events; each takes the time and
@@ -43,14 +43,14 @@
 type Settings struct {
 	// Info is announced to entries.
 	Info wire.AgentInfo
-	// TombstoneRetention is how long the epoch of an ended submission is kept. It must exceed the longest
-	// silence timeout of a link.
+	// TombstoneRetention is how long the epoch of an ended submission is kept. It must exceed the
+	// longest silence timeout of a link.
 	TombstoneRetention time.Duration
 	// ResultRetention is how long an unacknowledged result is retained after the last event of its
 	// submission.
 	ResultRetention time.Duration
-	// MaxResultBytes limits the payloads of retained results, in bytes. New tasks are refused while the
-	// limit is exceeded.
+	// MaxResultBytes limits the payloads of retained results, in bytes. New tasks are refused while
+	// the limit is exceeded.
 	MaxResultBytes int
 }
 
@@ -302,7 +302,7 @@
 	return msg
 }
 
-// flush sets the load, the configuration version and Leaving in every pending message, and returns
+// flush sets the load, the configuration version and NotAccepting in every pending message, and returns
 // the output of the event.
 func (c *Core) flush() Output {
 	out := c.out
--- a/core/agentcore/core_test.go
+++ b/core/agentcore/core_test.go
@@ -90,16 +90,16 @@
 	c.Receive(start, 1, startBatch("s", 1, 0, 0))
 	c.ExecutionFinished(start, ExecID{"s", 0, 1}, Completion{Payload: []byte("result")})
 	c.Receive(start, 1, &wire.ToAgent{Acks: []wire.Ack{{Submission: "s", Epoch: 1}}})
-	_, retained := c.Retained()
-	is.Equal(retained, 0)
+	_, resultBytes := c.Retained()
+	is.Equal(resultBytes, 0)
 	is.Equal(resultsOf(c.Receive(start, 1, startBatch("s", 1, 0, 0)))[0].Kind, errkind.Fenced)
 	// A voided submission may be claimed and sent again with the next epoch.
 	is.Equal(len(c.Receive(start, 1, startBatch("s", 2, 0, 0)).Executions), 1)
 	c.ExecutionFinished(start, ExecID{"s", 0, 1}, Completion{})
 	c.Receive(start, 1, &wire.ToAgent{Acks: []wire.Ack{{Submission: "s", Epoch: 2}}})
 	c.Tick(start.Add(2 * time.Minute))
-	held, _ := c.Retained()
-	is.Equal(held, 0)
+	submissions, _ := c.Retained()
+	is.Equal(submissions, 0)
 }
 
 func TestDroppedResultMakesFenceRepliesPartial(t *testing.T) {
@@ -113,7 +113,7 @@
 	is.True(out.Sends[0].Msg.Fences[0].Partial)
 }
 
-func TestUrgentTaskEvictsQueuedBatchTask(t *testing.T) {
+func TestUrgentTaskWithdrawsQueuedBatchTask(t *testing.T) {
 	is := is.New(t)
 	c := newCore(1, 1)
 	c.LinkUp(start, 1, entryA)
@@ -124,7 +124,7 @@
 	is.Equal(c.ExecutionFinished(start, ExecID{"b", 0, 1}, Completion{}).Executions[0].ID.Submission, "u")
 }
 
-func TestNewWorkIsRefusedBeyondResultBytes(t *testing.T) {
+func TestNewWorkIsRefusedBeyondMaxResultBytes(t *testing.T) {
 	is := is.New(t)
 	c := newCore(2, 2)
 	c.LinkUp(start, 1, entryA)
--- a/core/agentcore/submission.go
+++ b/core/agentcore/submission.go
@@ -301,7 +301,7 @@
 	sub.lastEvent = now
 }
 
-// expire removes a tombstone after FenceMemory, and unacknowledged results after ResultRetention
+// expire removes a tombstone after TombstoneRetention, and unacknowledged results after ResultRetention
 // unless an attempt of the submission is queued or running.
 func (c *Core) expire(now time.Time, id string, sub *submission) {
 	age := now.Sub(sub.lastEvent)
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -41,7 +41,7 @@
 
 // Row is the content of a claim.
 type Row struct {
-	// Submission is the name returned by Keyed.
+	// Submission is the name returned by KeyedName.
 	Submission string `cbor:"1,keyasint"`
 	// Digest identifies the request; the same key with another digest is a conflict.
 	Digest uint64 `cbor:"2,keyasint"`
--- a/core/dispatch/core.go
+++ b/core/dispatch/core.go
@@ -15,7 +15,7 @@
 // agents at which the owner may start them. The owner's epoch is the fencing token: a fence is a
 // message that makes an agent refuse starts of lower epochs and report the attempts that it knows.
 //
-// # Life of a submission
+// # Lifecycle of a submission
 //
 // A submission without a key goes straight to phase running. One with a key is claimed first: the
 // core writes a claim that lists the candidates, and starts nothing before the write is known to
@@ -60,7 +60,7 @@
 
 // Answer is the answer to one caller's request.
 type Answer struct {
-	// Request is the Request.ID, or the ID passed to Watch.
+	// Request is the Request.ID, or the ID passed to AddWaiter.
 	Request uint64
 	// Outcome is nil for an asynchronous request, which is answered once its submission is claimed.
 	Outcome *wire.Outcome
@@ -81,7 +81,7 @@
 }
 
 // Output is what Flush asks the caller to carry out. The results come back as events: ClaimWritten
-// for Writes, ClaimRead for Reads, PeerReplied for Awaits, and LinkUp or AgentGone for Dials.
+// for Writes, ClaimRead for Reads, PeerReplied for Awaits, and LinkUp or AgentEnded for Dials.
 type Output struct {
 	Sends  []Send
 	Writes []claim.Write
@@ -121,8 +121,8 @@
 	draining   bool
 	// liveEntries is the number of live entries among which quotas are divided; at least 1.
 	liveEntries int
-	// askScratch holds the result of askFor.
-	askScratch rank.PickRequest
+	// pickScratch holds the result of pickRequestFor.
+	pickScratch rank.PickRequest
 	// entryNames are the names of the live entries.
 	entryNames []string
 	// openTasks counts the tasks of submissions that have not ended.
@@ -207,8 +207,8 @@
 // SetConfigVersion sets the configuration version that is included in messages to agents.
 func (c *Core) SetConfigVersion(v uint64) { c.configVersion = v }
 
-// SlotDemand returns the number of slots that this entry needs: one for each attempt in flight and each
-// waiting task.
+// SlotDemand returns the number of slots that this entry needs: one for each attempt in flight and
+// each waiting task.
 func (c *Core) SlotDemand() float64 {
 	inFlight := 0
 	for _, a := range c.pool.Agents() {
@@ -217,8 +217,8 @@
 	return float64(inFlight + c.queue.Len())
 }
 
-// SetSleepingBackends replaces the list of sleeping backend servers. Tasks that only these can run are
-// admitted, since their workers can be woken.
+// SetSleepingBackends replaces the list of sleeping backend servers. Tasks that only these can run
+// are admitted, since their workers can be woken.
 func (c *Core) SetSleepingBackends(list []SleepingBackend) { c.sleepingBackends = list }
 
 // Configure replaces the settings. They apply to open submissions as well.
@@ -231,7 +231,7 @@
 // Settings returns the settings in force.
 func (c *Core) Settings() Settings { return c.settings }
 
-// Drain makes the core refuse new submissions. Open ones continue.
+// Drain makes the core refuse new submissions. Those that have not ended continue.
 func (c *Core) Drain() { c.draining = true }
 
 // Flush acts on all events since the last call: it runs due timers, places waiting tasks and
--- a/core/dispatch/core_test.go
+++ b/core/dispatch/core_test.go
@@ -192,7 +192,7 @@
 }
 
 // TestGivenUpTakeoverFencesBeforeVoiding: the deadline passes during the write of a takeover. The
-// former owner may have started tasks, so the claim must not be voided before the candidates are
+// previous owner may have started tasks, so the claim must not be voided before the candidates are
 // fenced.
 func TestGivenUpTakeoverFencesBeforeVoiding(t *testing.T) {
 	h := newHarness(t, 2)
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -62,7 +62,7 @@
 	return t.laneName
 }
 
-// placeWaiting sends the waiting tasks for which an agent has room.
+// placeWaiting sends the waiting tasks for which an agent has a free slot.
 func (c *Core) placeWaiting(now time.Time) {
 	if c.queue.Len() == 0 {
 		return
@@ -70,7 +70,7 @@
 	c.queue.Scan(func(t *task) fair.Verdict { return c.tryPlace(now, t) })
 }
 
-// tryPlace sends t to an agent if one has room.
+// tryPlace sends t to an agent if one has a free slot.
 func (c *Core) tryPlace(now time.Time, t *task) fair.Verdict {
 	sub := t.sub
 	if sub.ended || sub.phase != phaseRunning || t.state != taskWaiting || !now.Before(sub.deadline) {
@@ -80,11 +80,11 @@
 	if sub.claimed && now.After(c.leaseUntil) {
 		return fair.Blocked
 	}
-	ask := c.askFor(now, t)
-	choice := c.pickAgent(now, sub, ask)
+	req := c.pickRequestFor(now, t)
+	choice := c.pickAgent(now, sub, req)
 	if choice.Agent == nil && len(t.avoid) > 0 && !c.hasAlternative(t) {
-		ask.AvoidAgents = nil
-		choice = c.pickAgent(now, sub, ask)
+		req.AvoidAgents = nil
+		choice = c.pickAgent(now, sub, req)
 	}
 	if choice.Agent == nil {
 		c.scheduleWidening(now, sub)
@@ -112,21 +112,21 @@
 }
 
 // pickAgent chooses an agent from the candidates of a claimed submission, else from the pool.
-func (c *Core) pickAgent(now time.Time, sub *submission, ask *rank.PickRequest) rank.Choice {
+func (c *Core) pickAgent(now time.Time, sub *submission, req *rank.PickRequest) rank.Choice {
 	if sub.claimed {
-		return c.pool.PickAmong(now, sub.knownCandidates, ask)
+		return c.pool.PickAmong(now, sub.knownCandidates, req)
 	}
-	return c.pool.Pick(now, ask)
+	return c.pool.Pick(now, req)
 }
 
-// askFor returns the requirements of t for a pick from the pool. The result is valid until the next
-// call.
-func (c *Core) askFor(now time.Time, t *task) *rank.PickRequest {
-	c.askScratch = rank.PickRequest{
+// pickRequestFor returns the requirements of t for a pick from the pool. The result is valid until
+// the next call.
+func (c *Core) pickRequestFor(now time.Time, t *task) *rank.PickRequest {
+	c.pickScratch = rank.PickRequest{
 		Requirement: t.spec.requirement(), Kind: t.spec.kind(), Waited: now.Sub(t.waitingSince),
 		Spare: c.spareSlotsFor(now, t.sub), AvoidAgents: t.avoid,
 	}
-	return &c.askScratch
+	return &c.pickScratch
 }
 
 // spareSlotsFor returns the number of slots that tasks of sub must leave free at each agent:
@@ -206,22 +206,22 @@
 // armAttemptTimers sets the timers that act if the newest attempt of t takes unusually long. There
 // are none while too little is known about the run times of its kind.
 func (c *Core) armAttemptTimers(now time.Time, t *task, agent rank.ID) {
-	slowAfter := float64(c.pool.StragglerThreshold(t.spec.kind()))
+	stragglerThreshold := float64(c.pool.StragglerThreshold(t.spec.kind()))
 	if c.mayHedge(t) {
 		c.hedgeBudget.add(c.settings.HedgeShare)
 	}
-	if slowAfter == 0 {
+	if stragglerThreshold == 0 {
 		return
 	}
 	tm := timer{kind: timerOverdue, sub: t.sub, task: t, agent: agent, attempt: t.lastAttempt}
-	c.addTimer(now.Add(time.Duration(overdueFactor*slowAfter)), tm)
+	c.addTimer(now.Add(time.Duration(overdueFactor*stragglerThreshold)), tm)
 	if c.mayHedge(t) {
 		tm.kind = timerHedge
-		c.addTimer(now.Add(time.Duration(c.settings.HedgeFactor*slowAfter)), tm)
+		c.addTimer(now.Add(time.Duration(c.settings.HedgeFactor*stragglerThreshold)), tm)
 	}
 }
 
-// overdueFactor times the learned upper quantile of run times is the time after which an attempt is
+// overdueFactor times the measured upper quantile of run times is the time after which an attempt is
 // overdue and counts against its agent.
 const overdueFactor = 2
 
@@ -242,14 +242,14 @@
 }
 
 // hedgeStraggler sends a second attempt of a task to another agent if the given attempt is still the
-// only one in flight, an agent has room and the hedge budget allows it.
+// only one in flight, an agent has a free slot and the hedge budget allows it.
 func (c *Core) hedgeStraggler(now time.Time, t *task, agent rank.ID, number uint32) {
 	if t.state != taskInFlight || len(t.attempts) != 1 || t.attempts[0].number != number {
 		return
 	}
-	ask := c.askFor(now, t)
-	ask.Waited, ask.AvoidAgents = 0, []rank.ID{agent}
-	choice := c.pool.Pick(now, ask)
+	req := c.pickRequestFor(now, t)
+	req.Waited, req.AvoidAgents = 0, []rank.ID{agent}
+	choice := c.pool.Pick(now, req)
 	if choice.Agent == nil || !c.hedgeBudget.take() {
 		return
 	}
--- a/core/dispatch/request.go
+++ b/core/dispatch/request.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// AddWaiter adds a waiting request to a submission that this entry owns. It returns false if the entry
-// does not own the submission or is not certain to.
+// AddWaiter adds a waiting request to a submission that this entry owns. It returns false if the
+// entry does not own the submission or is not certain to.
 func (c *Core) AddWaiter(name string, request uint64) bool {
 	sub := c.submissions[name]
 	if sub == nil || sub.phase == phaseAwaitingOwner || (sub.phase == phaseClaiming && sub.mayHaveRunBefore) {
--- a/core/dispatch/settings.go
+++ b/core/dispatch/settings.go
@@ -21,7 +21,7 @@
 	// attempt that may be hedged adds HedgeShare tokens; a zero share turns hedging off.
 	HedgeBurst float64
 	HedgeShare float64
-	// HedgeFactor times the learned upper quantile of run times is the run time from which a task
+	// HedgeFactor times the measured upper quantile of run times is the run time from which a task
 	// is a straggler and may be hedged.
 	HedgeFactor float64
 	// SpareSlots is the number of slots at each agent that a team which uses its whole share leaves
--- a/core/dispatch/submission.go
+++ b/core/dispatch/submission.go
@@ -143,7 +143,7 @@
 
 // waiter is a caller's request that waits for an answer.
 type waiter struct {
-	// id is Request.ID, or the ID passed to Watch.
+	// id is Request.ID, or the ID passed to AddWaiter.
 	id uint64
 	// async is set for callers that are answered once the submission is claimed.
 	async bool
--- a/core/dispatch/weight.go
+++ b/core/dispatch/weight.go
@@ -8,16 +8,16 @@
 	maxHedgeFactor = 4.0
 	minAwayMargin  = 1.5
 	maxAwayMargin  = 3.0
-	// awayRefuseWeight is the weight from which agents away from home refuse a task that would have
-	// to wait: the shorter wait is then worth the two messages of a refusal.
-	awayRefuseWeight = 0.5
+	// awayNoWaitWeight is the weight from which away agents (see package rank) refuse a task that
+	// would have to wait: the shorter wait is then worth the two messages of a refusal.
+	awayNoWaitWeight = 0.5
 )
 
-// SetResponseWeight derives the settings that trade response time against wasted messages from a weight
-// between 0 (fewest messages) and 1 (shortest response times).
+// SetResponseWeight derives the settings that trade response time against wasted messages from a
+// weight between 0 (fewest messages) and 1 (shortest response times).
 func (s *Settings) SetResponseWeight(weight float64) {
 	s.HedgeShare = maxHedgeShare * weight
 	s.Rank.AwayMargin = maxAwayMargin - (maxAwayMargin-minAwayMargin)*weight
-	s.Rank.AwayNoWait = weight >= awayRefuseWeight
+	s.Rank.AwayNoWait = weight >= awayNoWaitWeight
 	s.HedgeFactor = maxHedgeFactor - (maxHedgeFactor-minHedgeFactor)*weight
 }
--- a/core/fair/queue.go
+++ b/core/fair/queue.go
@@ -165,7 +165,7 @@
 	t.insertLane(i, &lane[T]{name: item.Lane, class: item.Class, items: []T{item.Value}})
 }
 
-// insertLane inserts l at index at.
+// insertLane inserts l at index i.
 func (t *team[T]) insertLane(i int, l *lane[T]) {
 	t.lanes = append(t.lanes, nil)
 	copy(t.lanes[i+1:], t.lanes[i:])
--- a/core/group/bench_test.go
+++ b/core/group/bench_test.go
@@ -66,11 +66,11 @@
 		arrived[nonce] = now
 		g.Add(claim.Write{Row: &claim.Row{Submission: strconv.FormatUint(nonce, 10), Nonce: nonce}})
 	}
-	type flight struct {
+	type transaction struct {
 		id   uint64
 		ends time.Time
 	}
-	var flights []flight
+	var inFlight []transaction
 	var delays []time.Duration
 	for at := time.Duration(0); at < simulatedTime; at += simulationStep {
 		now := start.Add(at)
@@ -83,16 +83,16 @@
 			add(now)
 			due = due[1:]
 		}
-		for len(flights) > 0 && !flights[0].ends.After(now) {
-			g.Done(now, flights[0].id, Applied, 1, nil)
-			flights = flights[1:]
+		for len(inFlight) > 0 && !inFlight[0].ends.After(now) {
+			g.Done(now, inFlight[0].id, Applied, 1, nil)
+			inFlight = inFlight[1:]
 		}
 		for _, r := range g.Results() {
 			delays = append(delays, now.Sub(arrived[r.Nonce]))
 			delete(arrived, r.Nonce)
 		}
 		for group, _ := g.Next(now); group != nil; group, _ = g.Next(now) {
-			flights = append(flights, flight{group.ID, now.Add(writeLatency)})
+			inFlight = append(inFlight, transaction{group.ID, now.Add(writeLatency)})
 		}
 	}
 	return delays, float64(g.Stats().Transactions) / simulatedTime.Seconds()
--- a/core/group/group.go
+++ b/core/group/group.go
@@ -130,9 +130,9 @@
 // InOutage reports whether the table service has an outage, that is, does not answer.
 func (g *Grouper) InOutage() bool { return g.consecutiveFailures >= g.params.OutageAfter }
 
-// ReportReachable records whether another request to the table service was answered: a failure counts as
-// an outage at once, a success ends one. During an outage the caller must go on sending such
-// requests, since no new claim is sent that could detect the end of the outage.
+// ReportReachable records whether another request to the table service was answered: a failure
+// counts as an outage at once, a success ends one. During an outage the caller must go on sending
+// such requests, since no new claim is sent that could detect the end of the outage.
 func (g *Grouper) ReportReachable(ok bool) {
 	switch {
 	case !ok:
@@ -169,7 +169,7 @@
 }
 
 // Next returns the next transaction to send. If there is none it returns nil and the time at which
-// Next must be called again; a zero time means after the next call of Add, Done or Reachable.
+// Next must be called again; a zero time means after the next call of Add, Done or ReportReachable.
 func (g *Grouper) Next(now time.Time) (*Group, time.Time) {
 	g.refill(now)
 	g.expireUnsent(now)
--- a/core/protocol/schedule_test.go
+++ b/core/protocol/schedule_test.go
@@ -20,7 +20,7 @@
 // Durations of the phases of a schedule, and of a submission's deadline.
 const (
 	faultPhase      = 6 * time.Second
-	settlePhase     = 60 * time.Second
+	recoveryPhase   = 60 * time.Second
 	requestDeadline = 4 * time.Second
 )
 
@@ -63,7 +63,7 @@
 	}
 	sim.runUntil(sim.now.Add(faultPhase))
 	sim.endFaults()
-	sim.runUntil(sim.now.Add(settlePhase))
+	sim.runUntil(sim.now.Add(recoveryPhase))
 	sim.check.checkProgress()
 	return sim
 }
--- a/core/protocol/simulation_test.go
+++ b/core/protocol/simulation_test.go
@@ -424,8 +424,8 @@
 	for _, submission := range out.Reads {
 		sim.table.read(e, submission)
 	}
-	for _, ask := range out.Awaits {
-		e.askOwner(ask)
+	for _, req := range out.Awaits {
+		e.askOwner(req)
 	}
 	for _, answer := range out.Answers {
 		if r := e.openRequests[answer.Request]; r != nil {
@@ -472,18 +472,18 @@
 	})
 }
 
-// askOwner sends a question about a submission to its owner.
-func (e *simEntry) askOwner(ask dispatch.PeerAwait) {
+// askOwner asks the owner of a submission for its outcome.
+func (e *simEntry) askOwner(req dispatch.PeerAwait) {
 	sim := e.sim
 	proc := e.proc
 	respond := func(status dispatch.PeerStatus, reply *wire.AwaitReply) {
 		sim.schedule(sim.networkDelay(), func() {
-			proc.deliver(func() { e.core.PeerReplied(sim.now, ask.Submission, ask.Owner.Incarnation, status, reply); e.flush() })
+			proc.deliver(func() { e.core.PeerReplied(sim.now, req.Submission, req.Owner.Incarnation, status, reply); e.flush() })
 		})
 	}
 	var owner *simEntry
 	for _, other := range sim.entries {
-		if other.proc.alive && other.self.Incarnation == ask.Owner.Incarnation {
+		if other.proc.alive && other.self.Incarnation == req.Owner.Incarnation {
 			owner = other
 		}
 	}
@@ -495,12 +495,12 @@
 		sim.schedule(500*time.Millisecond, func() { respond(dispatch.PeerTimedOut, nil) })
 		return
 	}
-	sim.schedule(sim.networkDelay(), func() { owner.serveAwait(ask, respond) })
+	sim.schedule(sim.networkDelay(), func() { owner.serveAwait(req, respond) })
 }
 
-// serveAwait answers a question of another entry when the submission ends, after two seconds at the
+// serveAwait answers a request of another entry when the submission ends, after two seconds at the
 // latest.
-func (e *simEntry) serveAwait(ask dispatch.PeerAwait, respond func(dispatch.PeerStatus, *wire.AwaitReply)) {
+func (e *simEntry) serveAwait(req dispatch.PeerAwait, respond func(dispatch.PeerStatus, *wire.AwaitReply)) {
 	sim := e.sim
 	if !e.proc.alive {
 		respond(dispatch.PeerRefused, nil)
@@ -508,13 +508,13 @@
 	}
 	e.nextReq++
 	id := e.nextReq
-	if !e.core.AddWaiter(ask.Submission, id) {
+	if !e.core.AddWaiter(req.Submission, id) {
 		respond(dispatch.PeerAnswered, &wire.AwaitReply{})
 		return
 	}
 	proc := e.proc
 	r := &request{
-		submission: ask.Submission,
+		submission: req.Submission,
 		answerPeer: func(o *wire.Outcome) { respond(dispatch.PeerAnswered, &wire.AwaitReply{Known: true, Outcome: o}) },
 		failPeer:   func() { respond(dispatch.PeerTimedOut, nil) },
 	}
@@ -524,11 +524,11 @@
 			return
 		}
 		delete(e.openRequests, id)
-		proc.deliver(func() { e.core.RemoveWaiter(ask.Submission, id) })
+		proc.deliver(func() { e.core.RemoveWaiter(req.Submission, id) })
 		respond(dispatch.PeerAnswered, &wire.AwaitReply{Known: true})
 	})
-	if ask.Cancel {
-		e.core.Cancel(sim.now, ask.Submission)
+	if req.Cancel {
+		e.core.Cancel(sim.now, req.Submission)
 	}
 	e.flush()
 }
--- a/core/rank/agent.go
+++ b/core/rank/agent.go
@@ -20,7 +20,7 @@
 	slownessWeight = 0.1
 	failRateWeight = 0.1
 	// minSamples is the number of results of an agent from which failures count into its failure
-	// rate. SlowAfter needs four times as many results of a kind.
+	// rate. StragglerThreshold needs four times as many results of a kind.
 	minSamples = 8
 	// ejectFailures is the number of consecutive failures at which an agent is ejected.
 	ejectFailures = 3
@@ -51,7 +51,8 @@
 	Rack       string
 	Labels     label.Set
 	Slots      int
-	// Leaving is set if the agent accepts no new tasks.
+	// Leaving is set while the agent accepts no new tasks, since it drains or rests (see package
+	// wake).
 	Leaving bool
 	// IsHome is set if this entry is the home of the agent, the entry that mainly uses it.
 	IsHome bool
--- a/core/rank/rank.go
+++ b/core/rank/rank.go
@@ -56,8 +56,8 @@
 	AwayNoWait bool
 	// LocalDataCentre is the data centre of the entry.
 	LocalDataCentre string
-	// DrainedDataCentres are the data centres whose agents get no new tasks. Policies Random and RoundRobin
-	// ignore it.
+	// DrainedDataCentres are the data centres whose agents get no new tasks. Policies Random and
+	// RoundRobin ignore it.
 	DrainedDataCentres []string
 	// CrossLatency is the round-trip time to another data centre.
 	CrossLatency time.Duration
@@ -196,8 +196,8 @@
 // maxCachedRequirements is the number of entries in feasibleCache from which the cache is cleared.
 const maxCachedRequirements = 4096
 
-// ClaimCandidates returns the agents for which a submission of n tasks may be claimed: linked ones that are
-// not leaving. If no more than MaxFullScan agents are feasible, it returns all such agents;
+// ClaimCandidates returns the candidates for the claim of a submission of n tasks: linked agents
+// that are not leaving. If no more than MaxFullScan agents are feasible, it returns all such agents;
 // otherwise as many as n tasks need plus the number of spares, from a random place in the list.
 func (p *Pool) ClaimCandidates(r Requirement, n, spares int) []*Agent {
 	feasible := p.Feasible(r)
@@ -213,7 +213,7 @@
 	return p.takeAvailable(feasible, p.rng.IntN(len(feasible)), len(feasible), want)
 }
 
-// takeAvailable returns up to want agents that are linked and not leaving. It looks at scan agents
+// takeAvailable returns up to want agents that are linked and not leaving. It examines scan agents
 // of the list, from index start on, and wraps around.
 func (p *Pool) takeAvailable(list []*Agent, start, scan, want int) []*Agent {
 	picked := make([]*Agent, 0, want)
@@ -235,55 +235,56 @@
 	NoWait bool
 	// Spare is the number of slots that the agent has to leave free if it accepts the task.
 	Spare int
-	// ExpectedTime and RunnerUpFinish are the expected times to completion. Policies that compare loads
-	// set the estimated load instead, with one second per task.
+	// ExpectedTime and RunnerUpExpectedTime are the expected times to completion. Policies that
+	// compare loads set the estimated load instead, with one second per task.
 	ExpectedTime, RunnerUpExpectedTime time.Duration
 }
 
 // Pick chooses an agent for a task. Choice.Agent is nil if none of the agents compared can take the
-// task: each is full, ejected, leaving, without a link, in a drained data centre or in ask.Avoid.
-func (p *Pool) Pick(now time.Time, ask *PickRequest) Choice {
-	return p.pickFrom(now, p.Feasible(ask.Requirement), ask)
+// task: each is full, ejected, leaving, without a link, in a drained data centre or in
+// req.AvoidAgents.
+func (p *Pool) Pick(now time.Time, req *PickRequest) Choice {
+	return p.pickFrom(now, p.Feasible(req.Requirement), req)
 }
 
 // PickAmong is Pick restricted to the given agents.
-func (p *Pool) PickAmong(now time.Time, among []*Agent, ask *PickRequest) Choice {
+func (p *Pool) PickAmong(now time.Time, among []*Agent, req *PickRequest) Choice {
 	p.scratch = p.scratch[:0]
 	for _, a := range among {
-		if a.Service == ask.Service && ask.Selector.Matches(a.Labels) {
+		if a.Service == req.Service && req.Selector.Matches(a.Labels) {
 			p.scratch = append(p.scratch, a)
 		}
 	}
-	return p.pickFrom(now, p.scratch, ask)
+	return p.pickFrom(now, p.scratch, req)
 }
 
 // pickFrom chooses among feasible agents by the policy. The Finish policy tries the agents whose
 // home is this entry first.
-func (p *Pool) pickFrom(now time.Time, feasible []*Agent, ask *PickRequest) Choice {
+func (p *Pool) pickFrom(now time.Time, feasible []*Agent, req *PickRequest) Choice {
 	switch p.params.Policy {
 	case Random:
-		return p.pickRandom(feasible, ask.AvoidAgents)
+		return p.pickRandom(feasible, req.AvoidAgents)
 	case RoundRobin:
-		return p.pickRoundRobin(feasible, ask.AvoidAgents)
+		return p.pickRoundRobin(feasible, req.AvoidAgents)
 	case TwoChoices:
-		return p.pickSampled(now, feasible, ask, 2, byLoad)
+		return p.pickSampled(now, feasible, req, 2, byLoad)
 	case LeastLoaded:
-		return p.pickSampled(now, feasible, ask, len(feasible), byLoad)
+		return p.pickSampled(now, feasible, req, len(feasible), byLoad)
 	}
-	if choice := p.pickHome(now, feasible, ask); choice.Agent != nil {
-		return choice.withSpare(ask)
+	if choice := p.pickHome(now, feasible, req); choice.Agent != nil {
+		return choice.withSpare(req)
 	}
-	choice := p.pickSampled(now, feasible, ask, p.sampleSize(feasible), byFinish)
-	choice.NoWait = p.params.PreferHomes && p.params.AwayNoWait && choice.Agent != nil && !choice.Agent.IsHome && !p.hasWaitedLong(ask.Waited)
-	return choice.withSpare(ask)
+	choice := p.pickSampled(now, feasible, req, p.sampleSize(feasible), byFinish)
+	choice.NoWait = p.params.PreferHomes && p.params.AwayNoWait && choice.Agent != nil && !choice.Agent.IsHome && !p.hasWaitedLong(req.Waited)
+	return choice.withSpare(req)
 }
 
-// withSpare has the agent enforce that ask.Spare slots are left free, since the load known here may
+// withSpare has the agent enforce that req.Spare slots are left free, since the load known here may
 // be out of date.
-func (c Choice) withSpare(ask *PickRequest) Choice {
-	if ask.Spare > 0 {
+func (c Choice) withSpare(req *PickRequest) Choice {
+	if req.Spare > 0 {
 		c.NoWait = true
-		c.Spare = int(ask.Spare)
+		c.Spare = int(req.Spare)
 	}
 	return c
 }
@@ -298,7 +299,7 @@
 
 // pickHome chooses among the agents whose home is this entry. Their load is known best, since few
 // other entries send to them.
-func (p *Pool) pickHome(now time.Time, feasible []*Agent, ask *PickRequest) Choice {
+func (p *Pool) pickHome(now time.Time, feasible []*Agent, req *PickRequest) Choice {
 	if !p.params.PreferHomes {
 		return Choice{}
 	}
@@ -308,7 +309,7 @@
 			p.homeScratch = append(p.homeScratch, a)
 		}
 	}
-	return p.pickSampled(now, p.homeScratch, ask, p.sampleSize(p.homeScratch), byFinish)
+	return p.pickSampled(now, p.homeScratch, req, p.sampleSize(p.homeScratch), byFinish)
 }
 
 // scoring is what agents are compared by.
@@ -321,12 +322,12 @@
 
 // pickSampled chooses the best of sample agents: from a random start if all are compared, otherwise
 // drawn at random with replacement.
-func (p *Pool) pickSampled(now time.Time, feasible []*Agent, ask *PickRequest, sample int, by scoring) Choice {
+func (p *Pool) pickSampled(now time.Time, feasible []*Agent, req *PickRequest, sample int, by scoring) Choice {
 	var choice Choice
 	if len(feasible) == 0 {
 		return choice
 	}
-	run := p.RunTime(ask.Kind)
+	run := p.RunTime(req.Kind)
 	all := sample >= len(feasible)
 	start := p.rng.IntN(len(feasible))
 	if all {
@@ -338,7 +339,7 @@
 			index = p.rng.IntN(len(feasible))
 		}
 		a := feasible[index]
-		if !p.isUsable(now, a, ask, by) || containsID(ask.AvoidAgents, a.ID) {
+		if !p.isUsable(now, a, req, by) || containsID(req.AvoidAgents, a.ID) {
 			continue
 		}
 		choice.consider(a, p.score(now, a, run, by))
@@ -348,7 +349,7 @@
 
 // isUsable reports whether a may be given the task now. Policies that compare loads only check that
 // a is linked, not leaving and not in a drained data centre.
-func (p *Pool) isUsable(now time.Time, a *Agent, ask *PickRequest, by scoring) bool {
+func (p *Pool) isUsable(now time.Time, a *Agent, req *PickRequest, by scoring) bool {
 	if a.Leaving || a.Down || slices.Contains(p.params.DrainedDataCentres, a.DataCentre) {
 		return false
 	}
@@ -358,9 +359,9 @@
 	if (a.ejected && !a.isProbeDue(now)) || (!a.ejected && a.hasTooManyOverdue()) {
 		return false
 	}
-	limit := float64(a.Slots+p.params.QueueAllowance) - ask.Spare
+	limit := float64(a.Slots+p.params.QueueAllowance) - req.Spare
 	if p.params.PreferHomes && !a.IsHome {
-		limit -= p.params.AwayMargin * max(0, 1-float64(ask.Waited)/float64(p.MeanRunTime()))
+		limit -= p.params.AwayMargin * max(0, 1-float64(req.Waited)/float64(p.MeanRunTime()))
 	}
 	return p.Load(now, a)+1 <= limit
 }
--- a/core/rank/rank_test.go
+++ b/core/rank/rank_test.go
@@ -57,17 +57,17 @@
 	is := is.New(t)
 	p := newPool(2)
 	p.Agents()[0].DataCentre, p.Agents()[1].DataCentre = "a", "b"
-	ask := &PickRequest{Requirement: requirement(t, ""), Kind: scan}
+	req := &PickRequest{Requirement: requirement(t, ""), Kind: scan}
 	params := DefaultParams()
 	params.DrainedDataCentres = []string{"a"}
 	p.Configure(params)
 	for range 20 {
-		is.Equal(p.Pick(start, ask).Agent, p.Agents()[1])
+		is.Equal(p.Pick(start, req).Agent, p.Agents()[1])
 	}
 	params.DrainedDataCentres = []string{"a", "b"}
 	p.Configure(params)
-	is.True(p.Pick(start, ask).Agent == nil)
-	is.Equal(len(p.Feasible(ask.Requirement)), 2) // the task has to wait; it is not infeasible
+	is.True(p.Pick(start, req).Agent == nil)
+	is.Equal(len(p.Feasible(req.Requirement)), 2) // the task has to wait; it is not infeasible
 }
 
 func TestAwayAgentNeedsMarginAndIsAskedNotToQueue(t *testing.T) {
@@ -164,9 +164,9 @@
 	is := is.New(t)
 	p := newPool(540)
 	r := requirement(t, "rack in (1,2,3,4,5,6,7,8,9),cores>8")
-	ask := &PickRequest{Requirement: r, Kind: scan}
-	p.Pick(start, ask)
-	is.Equal(testing.AllocsPerRun(100, func() { p.Pick(start, ask) }), 0.0)
+	req := &PickRequest{Requirement: r, Kind: scan}
+	p.Pick(start, req)
+	is.Equal(testing.AllocsPerRun(100, func() { p.Pick(start, req) }), 0.0)
 }
 
 // BenchmarkPick measures one pick by the number of agents.
@@ -175,10 +175,10 @@
 		b.Run(fmt.Sprint(agents), func(b *testing.B) {
 			p := newPool(agents)
 			r := requirement(b, "cores>8,rack notin (7)")
-			ask := &PickRequest{Requirement: r, Kind: scan}
+			req := &PickRequest{Requirement: r, Kind: scan}
 			b.ReportAllocs()
 			for b.Loop() {
-				p.Pick(start, ask)
+				p.Pick(start, req)
 			}
 		})
 	}
@@ -189,9 +189,9 @@
 	p := newPool(540)
 	r := requirement(b, "cores>8,rack notin (7)")
 	among := p.ClaimCandidates(r, 140, 3)
-	ask := &PickRequest{Requirement: r, Kind: scan}
+	req := &PickRequest{Requirement: r, Kind: scan}
 	b.ReportAllocs()
 	for b.Loop() {
-		p.PickAmong(start, among, ask)
+		p.PickAmong(start, among, req)
 	}
 }
--- a/core/rank/learn.go
+++ b/core/rank/stats.go
@@ -47,8 +47,8 @@
 	return time.Duration(p.meanRun)
 }
 
-// StragglerThreshold returns the run time that few tasks of the kind exceed, or zero if there are too few
-// results.
+// StragglerThreshold returns the run time that few tasks of the kind exceed, or zero if there are
+// too few results.
 func (p *Pool) StragglerThreshold(kind Kind) time.Duration {
 	k := p.kinds[kind]
 	if k == nil || k.samples < 4*minSamples {
@@ -100,7 +100,8 @@
 	a.probeAt = now.Add(a.probePause)
 }
 
-// RecordFailure records a task that ran at a and failed. It returns true if a is ejected because of it.
+// RecordFailure records a task that ran at a and failed. It returns true if a is ejected because of
+// it.
 func (p *Pool) RecordFailure(now time.Time, a *Agent, kind Kind) bool {
 	k := p.statsOf(kind)
 	k.failRate += failRateWeight * (1 - k.failRate)
--- a/core/wake/wake.go
+++ b/core/wake/wake.go
@@ -100,9 +100,9 @@
 func (d *Decider) WakeTime() time.Duration { return d.wakeTime }
 
 // Decide returns what to do now. demand is the number of slots that the tasks of this entry need,
-// in flight and waiting; workers are those whose home is this entry. fresh is false if the list of
-// workers is out of date; nothing is put to sleep then.
-func (d *Decider) Decide(now time.Time, demand float64, workers []Worker, fresh bool) Plan {
+// in flight and waiting; workers are those whose home is this entry. upToDate is false if the list
+// of workers is out of date; nothing is put to sleep then.
+func (d *Decider) Decide(now time.Time, demand float64, workers []Worker, upToDate bool) Plan {
 	d.update(now, demand, workers)
 	needed := d.slotsNeeded()
 	awakeSlots, wakingSlots := 0, 0
@@ -120,7 +120,7 @@
 		plan.Wake = d.chooseToWake(now, workers, needed-float64(awakeSlots+wakingSlots))
 		return plan
 	}
-	if !fresh {
+	if !upToDate {
 		return plan
 	}
 	plan.Sleep = readyToSleep(workers)
--- a/core/wake/wake_test.go
+++ b/core/wake/wake_test.go
@@ -46,7 +46,7 @@
 	is.Equal(d.Decide(start.Add(13*time.Second), 1, workers, true).Sleep, []string{"0"})
 }
 
-func TestStaleListPutsNothingToSleep(t *testing.T) {
+func TestOutdatedListPutsNothingToSleep(t *testing.T) {
 	is := is.New(t)
 	d := New(Params{})
 	workers := newWorkers(3, 0)
@@ -61,7 +61,7 @@
 	is.Equal(len(d.Decide(start, 0, newWorkers(2, 0), true).Rest), 0)
 }
 
-func TestLearnsWakeTime(t *testing.T) {
+func TestWakeTimeFollowsMeasurements(t *testing.T) {
 	is := is.New(t)
 	d := New(Params{})
 	is.Equal(len(d.Decide(start, 20, newWorkers(1, 2), true).Wake), 2)
--- a/service/agent/agent.go
+++ b/service/agent/agent.go
@@ -36,16 +36,16 @@
 // Intervals and timeouts of the agent.
 const (
 	tickInterval = time.Second
-	// fenceMemory is the time for which the core keeps the epochs of ended submissions. It must exceed
-	// maxMissedHeartbeats times the longest heartbeat interval.
-	fenceMemory = 90 * time.Second
+	// tombstoneRetention is the time for which the core keeps the epochs of ended submissions. It must
+	// exceed maxMissedHeartbeats times the longest heartbeat interval.
+	tombstoneRetention = 90 * time.Second
 	// resultRetention is the time after which a result is dropped that no entry has acknowledged.
 	resultRetention = 10 * time.Minute
 	// maxMissedHeartbeats is the number of heartbeat intervals without a message from the entry after
 	// which its link is closed.
 	maxMissedHeartbeats = 3
-	// leaveNotice is the time that a draining agent waits for its notice to reach the entries.
-	leaveNotice = 200 * time.Millisecond
+	// drainNotice is the time that a draining agent waits for its notice to reach the entries.
+	drainNotice = 200 * time.Millisecond
 )
 
 // Deps are the dependencies of an agent.
@@ -98,7 +98,7 @@
 		Slots: s.Slots, Queue: s.Queue,
 	}
 	core := agentcore.New(agentcore.Settings{
-		Info: info, TombstoneRetention: fenceMemory, ResultRetention: resultRetention, MaxResultBytes: s.ResultBytes,
+		Info: info, TombstoneRetention: tombstoneRetention, ResultRetention: resultRetention, MaxResultBytes: s.ResultBytes,
 	})
 	if deps.Metrics == nil {
 		deps.Metrics = metrics.NewRegistry()
@@ -154,7 +154,7 @@
 	a.log.Info().Str("agent", a.info.ID).Msg("agent: draining")
 	a.announcer.stop()
 	a.post(a.core.Drain)
-	time.Sleep(leaveNotice)
+	time.Sleep(drainNotice)
 	if lifecycle.AwaitIdle(work, a.settings.DrainTimeout.Std(), a.isIdle) {
 		return
 	}
--- a/service/agent/announcer.go
+++ b/service/agent/announcer.go
@@ -154,7 +154,7 @@
 	remaining := slices.Clone(entries)
 	chosen := make([]string, 0, n)
 	for range n {
-		// Each round builds a new ring, since the library's Remove corrupts the ring's index.
+		// Each round builds a new table, since the library's Remove corrupts the table's index.
 		top := rendezvous.New(remaining, xxh3.HashString).Lookup(agent)
 		chosen = append(chosen, top)
 		remaining = slices.DeleteFunc(remaining, func(name string) bool { return name == top })
--- a/service/claimstore/store.go
+++ b/service/claimstore/store.go
@@ -135,8 +135,8 @@
 	})
 }
 
-// ReportReachable reports whether the table service answered another request. The report is dropped if
-// the event queue is full.
+// ReportReachable reports whether the table service answered another request. The report is dropped
+// if the event queue is full.
 func (s *Store) ReportReachable(ok bool) {
 	s.post(func(time.Time) { s.grouper.ReportReachable(ok) })
 }
@@ -185,8 +185,8 @@
 	}
 }
 
-// runTransaction commits a group and reports the status to the grouper. It waits for room in the
-// event queue, since a status must not be dropped.
+// runTransaction commits a group and reports the status to the grouper. It waits for a free place in
+// the event queue, since a status must not be dropped.
 func (s *Store) runTransaction(ctx context.Context, g *group.Group) {
 	status, version, conflicts := s.commitGroup(ctx, g)
 	done := func(now time.Time) { s.grouper.Done(now, g.ID, status, version, conflicts) }
@@ -271,8 +271,8 @@
 
 const secondsPerMinute = 60
 
-// DeleteExpired deletes up to limit claims that ended before a time, in one transaction, together with their
-// index rows and objects. It returns the number of index rows that it found.
+// DeleteExpired deletes up to limit claims that ended before a time, in one transaction, together
+// with their index rows and objects. It returns the number of index rows that it found.
 func (s *Store) DeleteExpired(ctx context.Context, before time.Time, limit int) (int, error) {
 	rows, err := s.table.List(ctx, prefixEnded, "", limit)
 	if err != nil {
@@ -301,14 +301,14 @@
 // transaction and share its version.
 func (s *Store) deleteEnded(ctx context.Context, rows []table.Row, keep map[int]bool) (map[int]bool, error) {
 	var ops []table.Op
-	owner := make(map[int]int) // index of the row by that of the operation
+	rowOfOp := make(map[int]int) // index of the row by that of the operation
 	for i, row := range rows {
 		ops = append(ops, table.Op{Key: row.Key, Delete: true, IfVersion: table.AnyVersion})
 		if keep[i] {
 			continue
 		}
 		_, submission, _ := strings.Cut(strings.TrimPrefix(row.Key, prefixEnded), "/")
-		owner[len(ops)] = i
+		rowOfOp[len(ops)] = i
 		ops = append(ops, table.Op{Key: rowKey(submission), Delete: true, IfVersion: row.Version})
 	}
 	commit, err := s.table.Commit(ctx, ops)
@@ -318,7 +318,7 @@
 	if !commit.Applied {
 		changed := make(map[int]bool)
 		for _, c := range commit.Conflicts {
-			changed[owner[c.Op]] = true
+			changed[rowOfOp[c.Op]] = true
 		}
 		return changed, nil
 	}
@@ -393,8 +393,8 @@
 	return decoded, row.Version, err
 }
 
-// ListOwned returns up to limit submissions that an entry incarnation owns according to its index rows,
-// some of which may be stale.
+// ListOwned returns up to limit submissions that an entry incarnation owns according to its index
+// rows, some of which may be stale.
 func (s *Store) ListOwned(ctx context.Context, owner wire.EntryInfo, limit int) ([]string, error) {
 	prefix := ownedPrefix(owner)
 	rows, err := s.table.List(ctx, prefix, "", limit)
@@ -408,7 +408,8 @@
 	return list, nil
 }
 
-// DeleteIndexRows deletes index rows of an entry incarnation that are stale, such as those left by a takeover.
+// DeleteIndexRows deletes index rows of an entry incarnation that are stale, such as those left by a
+// takeover.
 func (s *Store) DeleteIndexRows(ctx context.Context, owner wire.EntryInfo, submissions []string) error {
 	ops := make([]table.Op, len(submissions))
 	for i, submission := range submissions {
--- a/service/claimstore/store_test.go
+++ b/service/claimstore/store_test.go
@@ -77,9 +77,9 @@
 	h.is.True(err != nil)
 }
 
-// TestExpireKeepsClaimsThatWereClaimedAnew checks that a voided claim that was claimed again is not
+// TestDeleteExpiredKeepsClaimsThatWereClaimedAgain checks that a voided claim that was claimed again is not
 // deleted together with the index row of its void.
-func TestExpireKeepsClaimsThatWereClaimedAnew(t *testing.T) {
+func TestDeleteExpiredKeepsClaimsThatWereClaimedAgain(t *testing.T) {
 	h := newHarness(t)
 	ctx := context.Background()
 	void := h.write(&claim.Row{Submission: "c/t/again", Phase: claim.Void}, 0)
--- a/service/entry/admin.go
+++ b/service/entry/admin.go
@@ -162,7 +162,7 @@
 	Slots      int    `json:"slots"`
 	// Load is the estimated number of tasks at the agent, those of other entries included.
 	Load float64 `json:"load"`
-	// Slowness is the learned ratio of run times here to those of the same kinds elsewhere.
+	// Slowness is the measured ratio of run times here to those of the same kinds elsewhere.
 	Slowness float64 `json:"slowness"`
 	// State is up, down, leaving or ejected.
 	State string `json:"state"`
@@ -223,8 +223,8 @@
 	Entry   string `json:"entry"`
 	Address string `json:"address"`
 	Config  uint64 `json:"config"`
-	// Fresh is false for the answering entry if it could not confirm its version recently; it is
-	// always true for other entries.
+	// Fresh tells whether the version is confirmed: false for the answering entry if it could not
+	// confirm its version recently, always true for other entries.
 	Fresh bool `json:"fresh"`
 }
 
@@ -314,7 +314,8 @@
 // ConfigVersion returns the configuration version in force here; 0 if none.
 func (e *Entry) ConfigVersion() uint64 { return e.configVersion() }
 
-// UsableAgents returns the number of agents that are up and accept new work; 0 if the entry has stopped.
+// UsableAgents returns the number of agents that are up and accept new work; 0 if the entry has
+// stopped.
 func (e *Entry) UsableAgents() int {
 	count := make(chan int, 1)
 	e.post(func(core *dispatch.Core, _ time.Time) {
--- a/service/entry/control.go
+++ b/service/entry/control.go
@@ -18,7 +18,7 @@
 // Intervals and timeouts of the control loop.
 const (
 	// entryLease is the time after a confirmed renewal of the own row during which this entry may
-	// start claimed work. It is shorter than the time for which agents remember fences, so that an
+	// start claimed work. It is shorter than the time for which agents keep epochs of submissions, so that an
 	// entry that was suspended or partitioned cannot start work that another entry has taken over.
 	entryLease = 45 * time.Second
 	// controlTimeout bounds one task of the control loop or one request of power control.
--- a/service/entry/jobs.go
+++ b/service/entry/jobs.go
@@ -71,9 +71,9 @@
 }
 
 // Read implements io.Reader.
-func (k *recordingReader) Read(p []byte) (int, error) {
-	n, err := k.source.Read(p)
-	k.data = append(k.data, p[:n]...)
+func (r *recordingReader) Read(p []byte) (int, error) {
+	n, err := r.source.Read(p)
+	r.data = append(r.data, p[:n]...)
 	return n, err
 }
 
--- a/service/entry/loop.go
+++ b/service/entry/loop.go
@@ -78,8 +78,8 @@
 			hasNewEvents = true
 		}
 	}
-	for _, ask := range out.Awaits {
-		go e.awaitOwner(ask)
+	for _, req := range out.Awaits {
+		go e.awaitOwner(req)
 	}
 	for _, dial := range out.Dials {
 		e.links.connect(dial.ID, dial.Address)
@@ -205,19 +205,19 @@
 const ownerWait = 5 * time.Second
 
 // awaitOwner asks the owner of a submission for its outcome and reports the answer to the core.
-func (e *Entry) awaitOwner(ask dispatch.PeerAwait) {
-	status, reply := e.askOwner(ask)
+func (e *Entry) awaitOwner(req dispatch.PeerAwait) {
+	status, reply := e.askOwner(req)
 	e.post(func(core *dispatch.Core, now time.Time) {
-		core.PeerReplied(now, ask.Submission, ask.Owner.Incarnation, status, reply)
+		core.PeerReplied(now, req.Submission, req.Owner.Incarnation, status, reply)
 	})
 }
 
 // askOwner asks the owner of a submission for its outcome. The status is PeerRefused if the owner's
 // incarnation has certainly ended; the reply is nil unless the status is PeerAnswered.
-func (e *Entry) askOwner(ask dispatch.PeerAwait) (dispatch.PeerStatus, *wire.AwaitReply) {
+func (e *Entry) askOwner(req dispatch.PeerAwait) (dispatch.PeerStatus, *wire.AwaitReply) {
 	dialCtx, cancelDial := context.WithTimeout(e.work, dialTimeout)
 	defer cancelDial()
-	conn, err := e.deps.Transport.Dial(dialCtx, ask.Owner.Address)
+	conn, err := e.deps.Transport.Dial(dialCtx, req.Owner.Address)
 	if err != nil {
 		if isConnectionRefused(err) {
 			return dispatch.PeerRefused, nil
@@ -228,12 +228,12 @@
 	ctx, cancel := context.WithTimeout(e.work, ownerWait+dialTimeout)
 	defer cancel()
 	reply, err := wire.Await(ctx, conn, &wire.AwaitRequest{
-		Submission: ask.Submission, Incarnation: ask.Owner.Incarnation, Cancel: ask.Cancel, Wait: ownerWait,
+		Submission: req.Submission, Incarnation: req.Owner.Incarnation, Cancel: req.Cancel, Wait: ownerWait,
 	})
 	switch {
 	case err != nil:
 		return dispatch.PeerTimedOut, nil
-	case reply.Incarnation != ask.Owner.Incarnation:
+	case reply.Incarnation != req.Owner.Incarnation:
 		return dispatch.PeerRefused, nil
 	}
 	return dispatch.PeerAnswered, reply
--- a/service/entry/power.go
+++ b/service/entry/power.go
@@ -170,12 +170,12 @@
 	}
 	slices.Sort(names)
 	slices.SortFunc(p.workers, func(a, b table.Worker) int { return strings.Compare(a.ID, b.ID) })
-	ring := rendezvous.New(names, xxh3.HashString)
+	hashing := rendezvous.New(names, xxh3.HashString)
 	var list []wake.Worker
 	for i, w := range p.workers {
 		home := names[i%len(names)]
 		if len(p.workers) > maxRoundRobinHomes {
-			home = ring.Lookup(w.ID)
+			home = hashing.Lookup(w.ID)
 		}
 		if home != p.entry.self.ID {
 			continue
--- a/service/eventloop/queue_test.go
+++ b/service/eventloop/queue_test.go
@@ -7,15 +7,15 @@
 	"github.com/matryer/is"
 )
 
-func TestTakeKeepsOrderAndStopsAfterABatch(t *testing.T) {
+func TestHandleBatchKeepsOrderAndStopsAfterABatch(t *testing.T) {
 	is := is.New(t)
 	const batch = 3
-	r := New[*[]int](2*batch+2, batch, nil)
+	q := New[*[]int](2*batch+2, batch, nil)
 	for n := range 2*batch + 2 {
-		r.Post(func(list *[]int, _ time.Time) { *list = append(*list, n) })
+		q.Post(func(list *[]int, _ time.Time) { *list = append(*list, n) })
 	}
 	var got []int
-	r.HandleBatch(<-r.Events(), &got, time.Time{})
+	q.HandleBatch(<-q.Events(), &got, time.Time{})
 	is.Equal(len(got), batch+1)
 	for i, n := range got {
 		is.Equal(i, n)
@@ -25,9 +25,9 @@
 func TestPostReturnsOnceTheLoopHasStopped(t *testing.T) {
 	is := is.New(t)
 	stopped := make(chan struct{})
-	r := New[int](1, DefaultBatch, stopped)
-	is.True(r.TryPost(func(int, time.Time) {}))
-	is.True(!r.TryPost(func(int, time.Time) {})) // full
+	q := New[int](1, DefaultBatch, stopped)
+	is.True(q.TryPost(func(int, time.Time) {}))
+	is.True(!q.TryPost(func(int, time.Time) {})) // full
 	close(stopped)
-	r.Post(func(int, time.Time) {}) // returns
+	q.Post(func(int, time.Time) {}) // returns
 }
--- a/service/members/members.go
+++ b/service/members/members.go
@@ -1,7 +1,7 @@
 // Package members is the registry of a region's entries, with one row per entry in the table
 // service. It tells which entries are alive and detects lost ones.
 //
-// Each entry renews its row every RenewEvery. An entry counts as alive if its row changes within
+// Each entry renews its row every RenewInterval. An entry counts as alive if its row changes within
 // deadTimeout on the observer's own clock, so that clocks need not agree. An entry whose row has not
 // changed is lost, and is marked dead by a conditional write; a concurrent renewal either makes that
 // write fail or conflicts itself. The row of a dead entry stays until its incarnation owns no claim,
@@ -183,7 +183,8 @@
 	return versions
 }
 
-// LostEntries returns the entries whose rows are marked dead or unchanged for longer than deadTimeout, by ID.
+// LostEntries returns the entries whose rows are marked dead or unchanged for longer than
+// deadTimeout, by ID.
 func (r *Registry) LostEntries(now time.Time) []wire.EntryInfo {
 	var list []wire.EntryInfo
 	for _, peer := range r.peers {
--- a/service/transport/maintain.go
+++ b/service/transport/maintain.go
@@ -7,8 +7,8 @@
 
 // Timeouts of connections that are opened again when they break.
 const (
-	// DialTimeout bounds one attempt to open a connection. It is far above a round-trip time and still
-	// short, since a host that is starting does not answer the first attempt.
+	// DialTimeout bounds one attempt to open a connection. It is far above a round-trip time and
+	// still short, since a host that is starting does not answer the first attempt.
 	DialTimeout = 200 * time.Millisecond
 	// retryMin and retryMax bound the pause between attempts, which doubles each time.
 	retryMin = 50 * time.Millisecond
