--- a/cmd/peridotpick/main.go
+++ b/cmd/peridotpick/main.go
@@ -42,7 +42,7 @@
 func exitCode(err error) int {
 	var failure *caller.Failure
 	if errors.As(err, &failure) {
-		return errkind.Of(failure.Kind()).Exit
+		return errkind.Of(failure.Kind()).ExitCode
 	}
-	return errkind.Of(errkind.From(err).Kind).Exit
+	return errkind.Of(errkind.From(err).Kind).ExitCode
 }
--- a/common/config/config.go
+++ b/common/config/config.go
@@ -30,9 +30,9 @@
 	Operators []Operator `json:"operators,omitempty"`
 	Services  []Service  `json:"services"`
 	Policy    Policy     `json:"policy"`
-	// Drained lists the data centres whose backend servers finish the tasks they run and get no new
+	// DrainedDataCentres lists the data centres whose backend servers finish the tasks they run and get no new
 	// ones.
-	Drained []string `json:"drained,omitempty"`
+	DrainedDataCentres []string `json:"drained,omitempty"`
 	// Retention is how long the outcome of a submission is available; DefaultRetention if 0.
 	Retention settings.Duration `json:"retention,omitempty"`
 }
--- a/common/errkind/errkind.go
+++ b/common/errkind/errkind.go
@@ -60,8 +60,8 @@
 	Name string
 	// Status is the HTTP status code of an answer with this kind.
 	Status int
-	// Exit is the exit code of a command that ends with this kind.
-	Exit int
+	// ExitCode is the exit code of a command that ends with this kind.
+	ExitCode int
 	// Ran is what a caller may conclude about the execution of its work.
 	Ran Ran
 	// Retry reports whether the same request, unchanged, may succeed later.
--- a/common/errkind/errkind_test.go
+++ b/common/errkind/errkind_test.go
@@ -17,7 +17,7 @@
 		is.True(!seen[p.Name])
 		seen[p.Name] = true
 		is.True(p.Status >= 200 && p.Status < 600)
-		is.True((p.Exit == 0) == (k == OK))
+		is.True((p.ExitCode == 0) == (k == OK))
 		is.True(p.Title != "")
 		if p.Retry {
 			is.Equal(p.Ran, NotRun) // only work that certainly did not run may be repeated unconditionally
--- a/core/agentcore/core.go
+++ b/core/agentcore/core.go
@@ -89,8 +89,8 @@
 type Output struct {
 	Sends      []Send
 	Executions []Execution
-	// Stops are the executions to stop, since their results are no longer needed.
-	Stops []ExecID
+	// StopExecutions are the executions to stop, since their results are no longer needed.
+	StopExecutions []ExecID
 }
 
 type linkState struct {
@@ -204,7 +204,7 @@
 func (c *Core) ExecutionFinished(now time.Time, id ExecID, done Completion) Output {
 	c.running--
 	if sub := c.submissions[id.Submission]; sub != nil {
-		if a := sub.attempts[id.Index]; a != nil && a.number == id.Attempt && a.phase == wire.Running {
+		if a := sub.attempts[id.Index]; a != nil && a.number == id.Attempt && a.phase == wire.PhaseRunning {
 			c.addActive(sub.owner, -1)
 			c.recordResult(now, sub, a, done)
 		}
@@ -340,7 +340,7 @@
 	}
 	n := 0
 	for _, a := range sub.attempts {
-		if a.phase == wire.Queued || a.phase == wire.Running {
+		if a.phase == wire.PhaseQueued || a.phase == wire.PhaseRunning {
 			n++
 		}
 	}
--- a/core/agentcore/core_test.go
+++ b/core/agentcore/core_test.go
@@ -66,7 +66,7 @@
 		}
 	}
 	is.Equal(len(reply.Tasks), 1)
-	is.Equal(reply.Tasks[0].Phase, wire.Running)
+	is.Equal(reply.Tasks[0].Phase, wire.PhaseRunning)
 	refused := resultsOf(c.Receive(start, 1, startBatch("s", 1, 0, 2)))
 	is.Equal(refused[0].Kind, errkind.Fenced)
 	is.True(refused[0].NotRun)
--- a/core/agentcore/submission.go
+++ b/core/agentcore/submission.go
@@ -89,7 +89,7 @@
 		if task.Attempt <= prev.number {
 			return // duplicate delivery
 		}
-		if prev.phase != wire.Done {
+		if prev.phase != wire.PhaseDone {
 			c.refuseTask(link, batch, task, errkind.Fenced)
 			return
 		}
@@ -104,7 +104,7 @@
 	}
 	c.lastSeq++
 	a := &attempt{
-		index: task.Index, number: task.Attempt, phase: wire.Queued,
+		index: task.Index, number: task.Attempt, phase: wire.PhaseQueued,
 		sub: sub, submissionName: batch.Submission, start: *task, class: batch.Class,
 		deadline: now.Add(batch.Remaining), queuedAt: now, seq: c.lastSeq, prev: sub.attempts[task.Index],
 	}
@@ -165,7 +165,7 @@
 			c.withdraw(a, errkind.DeadlineTooShort)
 			continue
 		}
-		a.phase = wire.Running
+		a.phase = wire.PhaseRunning
 		a.startedAt = now
 		if a.prev != nil {
 			c.dropResult(a.prev)
@@ -184,7 +184,7 @@
 // not run is removed instead, so that the same attempt may be sent again.
 func (c *Core) recordResult(now time.Time, sub *submission, a *attempt, done Completion) {
 	sub.lastEvent = now
-	a.phase = wire.Done
+	a.phase = wire.PhaseDone
 	a.result = &wire.Result{
 		Submission: a.submissionName, Index: a.index, Attempt: a.number, Epoch: sub.epoch,
 		Kind: done.Kind, NotRun: done.NotRun, Payload: done.Payload, Checksum: wire.Checksum(done.Payload),
@@ -239,7 +239,7 @@
 // withdrawQueued withdraws the queued attempts of the given tasks, or of all if tasks is empty.
 func (c *Core) withdrawQueued(sub *submission, tasks []uint32, kind errkind.Kind) {
 	for _, a := range c.selectAttempts(sub, tasks) {
-		if a.phase == wire.Queued {
+		if a.phase == wire.PhaseQueued {
 			c.withdraw(a, kind)
 		}
 	}
@@ -255,8 +255,8 @@
 	sub.lastEvent = now
 	c.withdrawQueued(sub, req.Tasks, errkind.Canceled)
 	for _, a := range c.selectAttempts(sub, req.Tasks) {
-		if a.phase == wire.Running {
-			c.out.Stops = append(c.out.Stops, ExecID{Submission: a.submissionName, Index: a.index, Attempt: a.number})
+		if a.phase == wire.PhaseRunning {
+			c.out.StopExecutions = append(c.out.StopExecutions, ExecID{Submission: a.submissionName, Index: a.index, Attempt: a.number})
 		}
 	}
 }
@@ -290,9 +290,9 @@
 	c.withdrawQueued(sub, nil, errkind.Canceled)
 	for _, a := range c.selectAttempts(sub, nil) {
 		c.dropResult(a)
-		if a.phase == wire.Running {
+		if a.phase == wire.PhaseRunning {
 			c.addActive(sub.owner, -1)
-			c.out.Stops = append(c.out.Stops, ExecID{Submission: a.submissionName, Index: a.index, Attempt: a.number})
+			c.out.StopExecutions = append(c.out.StopExecutions, ExecID{Submission: a.submissionName, Index: a.index, Attempt: a.number})
 		}
 	}
 	sub.attempts = nil
@@ -315,7 +315,7 @@
 		return
 	}
 	for _, a := range sub.attempts {
-		if a.phase == wire.Queued || a.phase == wire.Running {
+		if a.phase == wire.PhaseQueued || a.phase == wire.PhaseRunning {
 			return
 		}
 	}
--- a/core/batch/core.go
+++ b/core/batch/core.go
@@ -135,9 +135,9 @@
 	Decisions []Decision
 	// Records are to be stored in this order.
 	Records []Record
-	// Disowned lists durable jobs that were given up because the entry's ownership of them is no
+	// OwnershipExpired lists durable jobs that were given up because the entry's ownership of them is no
 	// longer confirmed.
-	Disowned []string
+	OwnershipExpired []string
 	// UnownedEnds lists held ends of jobs that are not here.
 	UnownedEnds []UnownedEnd
 	// Suspects lists tasks suspected of crashing workers, to be sent to the other entries.
@@ -287,8 +287,8 @@
 // OpenRequests returns the number of requests that are not answered yet.
 func (c *Core) OpenRequests() int { return len(c.byRequest) }
 
-// Workers returns the number of workers that can be given runs.
-func (c *Core) Workers() int {
+// UsableWorkers returns the number of workers that can be given runs.
+func (c *Core) UsableWorkers() int {
 	n := 0
 	for a := range c.agents.Values() {
 		if a.isUsable(c.now, c.settings.SilenceTimeout) {
--- a/core/batch/core_test.go
+++ b/core/batch/core_test.go
@@ -108,7 +108,7 @@
 
 // reportEnd reports the end of a run of job 1.
 func (h *harness) reportEnd(now time.Time, agent int, index int, run uint32, outcome runs.Outcome) Output {
-	return h.reportEndWithReason(now, agent, index, run, outcome, runs.NoReason)
+	return h.reportEndWithReason(now, agent, index, run, outcome, runs.ReasonNone)
 }
 
 // reportEndWithReason reports the end of a run of job 1 with a reason.
--- a/core/batch/drains_test.go
+++ b/core/batch/drains_test.go
@@ -57,7 +57,7 @@
 	h.is.Equal(h.answers[0].Kind, errkind.Overloaded)
 	h.is.True(h.answers[0].RetryAfter > 0)
 	h.is.Equal(out.Decisions[len(out.Decisions)-1].Reason, "data centres drained")
-	h.is.Equal(h.Workers(), 2) // the entry keeps accepting connections
+	h.is.Equal(h.UsableWorkers(), 2) // the entry keeps accepting connections
 }
 
 // TestRunRefusedByADrainIsPlacedElsewhereAtOnce also verifies that the refused run, which did not
--- a/core/batch/durable.go
+++ b/core/batch/durable.go
@@ -82,15 +82,15 @@
 	c.ownershipUntil = time.Time{}
 	for j := range c.jobs.Values() {
 		if j.durable != nil && !j.ended {
-			c.Disown(c.now, j.name)
-			c.out.Disowned = append(c.out.Disowned, j.name)
+			c.StopLost(c.now, j.name)
+			c.out.OwnershipExpired = append(c.out.OwnershipExpired, j.name)
 		}
 	}
 }
 
-// Own starts to run a durable job. If the job was disowned and still has runs, it starts once they
+// RunDurable starts to run a durable job. If the job was disowned and still has runs, it starts once they
 // are over.
-func (c *Core) Own(now time.Time, d *DurableJob) {
+func (c *Core) RunDurable(now time.Time, d *DurableJob) {
 	c.Advance(now)
 	if old := c.jobs.Get(d.Job); old != nil {
 		if old.durable != nil && old.durable.disowned {
@@ -125,9 +125,9 @@
 	}
 }
 
-// Disown stops a job that this entry must no longer run. The ends of its runs are left to the next
+// StopLost stops a job that this entry must no longer run. The ends of its runs are left to the next
 // owner.
-func (c *Core) Disown(now time.Time, name string) {
+func (c *Core) StopLost(now time.Time, name string) {
 	c.Advance(now)
 	j := c.jobs.Get(name)
 	if j == nil || j.durable == nil || j.durable.disowned {
--- a/core/batch/durable_test.go
+++ b/core/batch/durable_test.go
@@ -17,7 +17,7 @@
 		edit(d)
 	}
 	h.ConfirmOwnership(now.Add(5 * time.Second))
-	h.Own(now, d)
+	h.RunDurable(now, d)
 	return h.flush(now)
 }
 
@@ -157,7 +157,7 @@
 	h.settings.SuspensionThreshold = time.Hour
 	h.Tick(after(5100))
 	out := h.flush(after(5100))
-	h.is.Equal(out.Disowned, []string{jobName(1)})
+	h.is.Equal(out.OwnershipExpired, []string{jobName(1)})
 	h.is.Equal(out.Sends[0].Msg.Stops, []runs.Key{starts[0].Key})
 	out = h.reportHeldEnd(after(5150), 0, 1, 0, 1, runs.OutcomeStopped)
 	acked, void := ackedAndVoidKeys(out)
--- a/core/batch/job.go
+++ b/core/batch/job.go
@@ -305,7 +305,7 @@
 		}
 	}
 	if j.durable != nil && j.durable.reacquired != nil {
-		c.Own(c.now, j.durable.reacquired)
+		c.RunDurable(c.now, j.durable.reacquired)
 	}
 }
 
--- a/core/dispatch/core.go
+++ b/core/dispatch/core.go
@@ -66,8 +66,8 @@
 	Outcome *wire.Outcome
 }
 
-// PeerAwait asks another entry for the outcome of a submission it owns.
-type PeerAwait struct {
+// OwnerQuery asks another entry for the outcome of a submission it owns.
+type OwnerQuery struct {
 	Submission string
 	Owner      wire.EntryInfo
 	// Cancel asks the owner to cancel the submission before it waits for the outcome.
@@ -81,15 +81,15 @@
 }
 
 // Output is what Flush asks the caller to carry out. The results come back as events: ClaimWritten
-// for Writes, ClaimRead for Reads, PeerReplied for Awaits, and LinkUp or AgentEnded for Dials.
+// for Writes, ClaimRead for Reads, PeerReplied for OwnerQueries, and LinkUp or AgentEnded for Dials.
 type Output struct {
 	Sends  []Send
 	Writes []claim.Write
 	// Reads are the submissions whose claim is to be read.
-	Reads   []string
-	Awaits  []PeerAwait
-	Dials   []Dial
-	Answers []Answer
+	Reads        []string
+	OwnerQueries []OwnerQuery
+	Dials        []Dial
+	Answers      []Answer
 	// Decisions are for the log.
 	Decisions []Decision
 }
--- a/core/dispatch/core_test.go
+++ b/core/dispatch/core_test.go
@@ -182,7 +182,7 @@
 func TestFailureDuringFencingDoesNotReportNotRun(t *testing.T) {
 	h := newHarness(t, 2)
 	h.takeOver(false, 2, 1, 2)
-	h.fenceReply(1, wire.TaskState{Index: 0, Attempt: 1, Phase: wire.Done, Result: &wire.Result{
+	h.fenceReply(1, wire.TaskState{Index: 0, Attempt: 1, Phase: wire.PhaseDone, Result: &wire.Result{
 		Submission: "c/team/key", Index: 0, Attempt: 1, Kind: errkind.TaskFailed,
 	}})
 	h.flush()
--- a/core/dispatch/links.go
+++ b/core/dispatch/links.go
@@ -29,7 +29,7 @@
 			c.resolveCandidates(sub)
 		}
 	}
-	known.Down = false
+	known.IsDown = false
 	for _, sub := range c.sortedSubmissions() {
 		c.fenceIfUncertain(sub, agent)
 	}
@@ -54,7 +54,7 @@
 	}
 	delete(c.linkByAgent, l.agent)
 	if a := c.pool.Get(l.agent); a != nil {
-		a.Down = true
+		a.IsDown = true
 	}
 	for _, sub := range c.sortedSubmissions() {
 		c.markAttemptsUnconfirmed(now, sub, l.agent)
@@ -93,7 +93,7 @@
 		return
 	}
 	c.pool.RecordLoad(now, a, msg.Load.Running+msg.Load.Queued, msg.Load.OwnedByReceiver)
-	a.Leaving = msg.NotAccepting
+	a.NotAccepting = msg.NotAccepting
 	lastRefused := ""
 	for _, r := range msg.Results {
 		if r.NotRun && r.Submission != lastRefused {
@@ -199,7 +199,7 @@
 	}
 	att := t.findAttempt(a.ID, s.Attempt)
 	if att == nil {
-		if s.Phase == wire.Done && t.lastFailure != errkind.OK {
+		if s.Phase == wire.PhaseDone && t.lastFailure != errkind.OK {
 			return // this failure has been handled before
 		}
 		t.attempts = append(t.attempts, attempt{agent: a.ID, number: s.Attempt})
@@ -210,9 +210,9 @@
 	}
 	att.unconfirmed = false
 	switch {
-	case s.Phase == wire.Done && s.Result != nil:
+	case s.Phase == wire.PhaseDone && s.Result != nil:
 		c.handleResult(now, a, s.Result)
-	case s.Phase == wire.Done, s.Phase == wire.ResultDropped:
+	case s.Phase == wire.PhaseDone, s.Phase == wire.PhaseResultDropped:
 		c.loseAttempt(now, t, *att)
 	}
 }
--- a/core/dispatch/place.go
+++ b/core/dispatch/place.go
@@ -67,11 +67,11 @@
 	if c.queue.Len() == 0 {
 		return
 	}
-	c.queue.Scan(func(t *task) fair.Verdict { return c.tryPlace(now, t) })
+	c.queue.Scan(func(t *task) fair.ScanResult { return c.tryPlace(now, t) })
 }
 
 // tryPlace sends t to an agent if one has a free slot.
-func (c *Core) tryPlace(now time.Time, t *task) fair.Verdict {
+func (c *Core) tryPlace(now time.Time, t *task) fair.ScanResult {
 	sub := t.sub
 	if sub.ended || sub.phase != phaseRunning || t.state != taskWaiting || !now.Before(sub.deadline) {
 		t.queued = false
@@ -104,7 +104,7 @@
 		list = c.pool.Feasible(r)
 	}
 	for _, a := range list {
-		if !a.Down && !a.Leaving && a.Service == r.Service && r.Selector.Matches(a.Labels) && !containsID(t.avoid, a.ID) {
+		if !a.IsDown && !a.NotAccepting && a.Service == r.Service && r.Selector.Matches(a.Labels) && !containsID(t.avoid, a.ID) {
 			return true
 		}
 	}
@@ -186,7 +186,7 @@
 func (c *Core) recordPlacement(t *task, choice rank.Choice, why DecisionKind) {
 	d := Decision{
 		Kind: why, Submission: t.sub.name, Task: t.index, Attempt: t.lastAttempt,
-		Agent: choice.Agent.ID, Finish: choice.ExpectedTime, RunnerUpFinish: choice.RunnerUpExpectedTime,
+		Agent: choice.Agent.ID, ExpectedTime: choice.ExpectedTime, RunnerUpExpectedTime: choice.RunnerUpExpectedTime,
 	}
 	if choice.RunnerUp != nil {
 		d.RunnerUp = choice.RunnerUp.ID
--- a/core/dispatch/results.go
+++ b/core/dispatch/results.go
@@ -55,7 +55,7 @@
 			return
 		}
 	case errkind.Draining:
-		a.Leaving = true
+		a.NotAccepting = true
 	}
 	t.avoid = []rank.ID{a.ID}
 	c.requeue(now, t)
--- a/core/dispatch/stats.go
+++ b/core/dispatch/stats.go
@@ -62,9 +62,9 @@
 	Agent      rank.ID
 	// RunnerUp is the agent with the second best expected finish.
 	RunnerUp rank.ID
-	// Finish and RunnerUpFinish are the expected times to completion at Agent and RunnerUp; zero if
+	// ExpectedTime and RunnerUpExpectedTime are the expected times to completion at Agent and RunnerUp; zero if
 	// the agents were not ranked.
-	Finish, RunnerUpFinish time.Duration
+	ExpectedTime, RunnerUpExpectedTime time.Duration
 	// Reason is set for refusals, retries and ejections.
 	Reason errkind.Kind
 }
--- a/core/dispatch/takeover.go
+++ b/core/dispatch/takeover.go
@@ -71,7 +71,7 @@
 	if sub.phase != phaseAwaitingOwner {
 		return
 	}
-	c.out.Awaits = append(c.out.Awaits, PeerAwait{Submission: sub.name, Owner: sub.owner, Cancel: sub.cancelRequested})
+	c.out.OwnerQueries = append(c.out.OwnerQueries, OwnerQuery{Submission: sub.name, Owner: sub.owner, Cancel: sub.cancelRequested})
 }
 
 // PeerStatus is the result of a request to another entry.
@@ -93,7 +93,7 @@
 // messages.
 const maxOwnerTimeouts = 2
 
-// PeerReplied handles the result of a PeerAwait. owner is the incarnation that was asked; reply is
+// PeerReplied handles the result of a OwnerQuery. owner is the incarnation that was asked; reply is
 // valid with PeerAnswered only.
 func (c *Core) PeerReplied(now time.Time, name string, owner uint64, status PeerStatus, reply *wire.AwaitReply) {
 	sub := c.submissions[name]
--- a/core/fair/queue.go
+++ b/core/fair/queue.go
@@ -21,13 +21,13 @@
 	Value T
 }
 
-// Verdict is the answer of the function passed to Scan about one item.
-type Verdict int
+// ScanResult is the answer of the function passed to Scan about one item.
+type ScanResult int
 
 // Verdicts.
 const (
 	// Taken removes the item from the queue.
-	Taken Verdict = iota
+	Taken ScanResult = iota
 	// Blocked keeps the item, and means that no other item of its lane can be taken in this scan.
 	Blocked
 )
@@ -111,7 +111,7 @@
 
 // Scan passes the items to try in their order until every lane is blocked or empty. It removes the
 // items that try takes; the others keep their place.
-func (q *Queue[T]) Scan(try func(T) Verdict) {
+func (q *Queue[T]) Scan(try func(T) ScanResult) {
 	blocked := make(map[string]bool)
 	var skipped []*team[T]
 	for q.activeTeams.Len() > 0 {
--- a/core/fair/queue_test.go
+++ b/core/fair/queue_test.go
@@ -9,7 +9,7 @@
 // drain takes up to n items and returns how many of each value it took.
 func drain(q *Queue[string], n int) map[string]int {
 	got := make(map[string]int)
-	q.Scan(func(v string) Verdict {
+	q.Scan(func(v string) ScanResult {
 		if n == 0 {
 			return Blocked
 		}
@@ -48,7 +48,7 @@
 	q.Push(Item[string]{Team: "a", Weight: 1, Lane: "gpu", Value: "gpu"})
 	q.Push(Item[string]{Team: "a", Weight: 1, Lane: "any", Value: "any"})
 	var taken []string
-	q.Scan(func(v string) Verdict {
+	q.Scan(func(v string) ScanResult {
 		if v == "gpu" {
 			return Blocked
 		}
--- a/core/protocol/simulation_test.go
+++ b/core/protocol/simulation_test.go
@@ -424,7 +424,7 @@
 	for _, submission := range out.Reads {
 		sim.table.read(e, submission)
 	}
-	for _, req := range out.Awaits {
+	for _, req := range out.OwnerQueries {
 		e.askOwner(req)
 	}
 	for _, answer := range out.Answers {
@@ -473,7 +473,7 @@
 }
 
 // askOwner asks the owner of a submission for its outcome.
-func (e *simEntry) askOwner(req dispatch.PeerAwait) {
+func (e *simEntry) askOwner(req dispatch.OwnerQuery) {
 	sim := e.sim
 	proc := e.proc
 	respond := func(status dispatch.PeerStatus, reply *wire.AwaitReply) {
@@ -500,7 +500,7 @@
 
 // serveAwait answers a request of another entry when the submission ends, after two seconds at the
 // latest.
-func (e *simEntry) serveAwait(req dispatch.PeerAwait, respond func(dispatch.PeerStatus, *wire.AwaitReply)) {
+func (e *simEntry) serveAwait(req dispatch.OwnerQuery, respond func(dispatch.PeerStatus, *wire.AwaitReply)) {
 	sim := e.sim
 	if !e.proc.alive {
 		respond(dispatch.PeerRefused, nil)
--- a/core/rank/agent.go
+++ b/core/rank/agent.go
@@ -51,13 +51,13 @@
 	Rack       string
 	Labels     label.Set
 	Slots      int
-	// Leaving is set while the agent accepts no new tasks, since it drains or rests (see package
+	// NotAccepting is set while the agent accepts no new tasks, since it drains or rests (see package
 	// wake).
-	Leaving bool
+	NotAccepting bool
 	// IsHome is set if this entry is the home of the agent, the entry that mainly uses it.
 	IsHome bool
-	// Down is set while there is no link to the agent.
-	Down bool
+	// IsDown is set while there is no link to the agent.
+	IsDown bool
 
 	// ReportedTasks is the number of tasks at the agent by its last load report.
 	ReportedTasks int
--- a/core/rank/rank.go
+++ b/core/rank/rank.go
@@ -219,7 +219,7 @@
 	picked := make([]*Agent, 0, want)
 	for i := 0; i < scan && len(picked) < want; i++ {
 		a := list[(start+i)%len(list)]
-		if !a.Down && !a.Leaving {
+		if !a.IsDown && !a.NotAccepting {
 			picked = append(picked, a)
 		}
 	}
@@ -350,7 +350,7 @@
 // isUsable reports whether a may be given the task now. Policies that compare loads only check that
 // a is linked, not leaving and not in a drained data centre.
 func (p *Pool) isUsable(now time.Time, a *Agent, req *PickRequest, by scoring) bool {
-	if a.Leaving || a.Down || slices.Contains(p.params.DrainedDataCentres, a.DataCentre) {
+	if a.NotAccepting || a.IsDown || slices.Contains(p.params.DrainedDataCentres, a.DataCentre) {
 		return false
 	}
 	if by == byLoad {
@@ -411,7 +411,7 @@
 func (p *Pool) firstAvailableFrom(feasible []*Agent, avoid []ID, start int) Choice {
 	for i := range feasible {
 		a := feasible[(start+i)%len(feasible)]
-		if !a.Leaving && !a.Down && !containsID(avoid, a.ID) {
+		if !a.NotAccepting && !a.IsDown && !containsID(avoid, a.ID) {
 			return Choice{Agent: a}
 		}
 	}
--- a/core/runner/drains.go
+++ b/core/runner/drains.go
@@ -55,9 +55,9 @@
 // DrainedDataCentres returns the drained data centres of the present view.
 func (c *Core) DrainedDataCentres() []string { return c.drains.DataCentres() }
 
-// DrainsUnconfirmed reports whether the view of drained data centres was not confirmed within
+// IsDrainViewStale reports whether the view of drained data centres was not confirmed within
 // DrainViewMaxAge. A new agent gets that time to receive a view from its first entry.
-func (c *Core) DrainsUnconfirmed(now time.Time) bool {
+func (c *Core) IsDrainViewStale(now time.Time) bool {
 	c.now = now
 	maxAge := c.settings.DrainViewMaxAge
 	return c.drains.Age(now) > maxAge && now.Sub(c.startedAt) > maxAge
--- a/core/runner/drains_test.go
+++ b/core/runner/drains_test.go
@@ -70,15 +70,15 @@
 func TestDrainViewIsUnconfirmedOnceItIsTooOld(t *testing.T) {
 	h := newDrainHarness(t)
 	h.Tick(start)
-	h.is.True(!h.DrainsUnconfirmed(after(2900))) // a new agent waits for the view of its first entry
-	h.is.True(h.DrainsUnconfirmed(after(3100)))
+	h.is.True(!h.IsDrainViewStale(after(2900))) // a new agent waits for the view of its first entry
+	h.is.True(h.IsDrainViewStale(after(3100)))
 	h.drain(after(3200), 5)
-	h.is.True(!h.DrainsUnconfirmed(after(6100)))
-	h.is.True(h.DrainsUnconfirmed(after(6300)))
+	h.is.True(!h.IsDrainViewStale(after(6100)))
+	h.is.True(h.IsDrainViewStale(after(6300)))
 	// An entry that was cut off from the store for 4 s repeats its view.
 	h.Receive(after(6300), 1, &runs.ToAgent{Clock: after(6300).UnixNano(), Drains: &runs.DrainView{Version: 5, Age: 4 * time.Second}})
-	h.is.True(h.DrainsUnconfirmed(after(6300)))
+	h.is.True(h.IsDrainViewStale(after(6300)))
 	// A message that was delayed by 4 s confirms nothing either.
 	h.Receive(after(10000), 1, &runs.ToAgent{Clock: after(6000).UnixNano(), Drains: &runs.DrainView{Version: 5}})
-	h.is.True(h.DrainsUnconfirmed(after(10000)))
+	h.is.True(h.IsDrainViewStale(after(10000)))
 }
--- a/core/runner/durable_test.go
+++ b/core/runner/durable_test.go
@@ -29,11 +29,11 @@
 	end := ends(h.Flush(after(10)))[0]
 	h.is.True(end.NeedsAck)
 	poll, _ := h.NextPoll(after(20))
-	h.is.Equal(poll.LastSeen, int64(0)) // the worker must go on listing it
+	h.is.Equal(poll.AckUpTo, int64(0)) // the worker must go on listing it
 	h.Receive(after(30), 1, &runs.ToAgent{AckedEnds: []runs.Key{key("j.0.0.0")}})
 	poll, ok := h.NextPoll(after(40))
 	h.is.True(ok)
-	h.is.Equal(poll.LastSeen, int64(1))
+	h.is.Equal(poll.AckUpTo, int64(1))
 }
 
 func TestHeldEndIsSentAgainOnANewLink(t *testing.T) {
@@ -104,7 +104,7 @@
 		}
 		if ok {
 			h.is.Equal(poll.Deadline, int64(0)) // nothing renews the lease
-			h.is.Equal(poll.LastSeen, int64(0))
+			h.is.Equal(poll.AckUpTo, int64(0))
 			h.PollAnswered(after(ms), poll, Answer{Status: Accepted, Clock: 5000 + int64(ms)}, Listing{
 				Ended: []Ended{{Number: 1, Key: key("j.0.0.0"), Outcome: runs.OutcomeDone}},
 			})
@@ -114,5 +114,5 @@
 	h.is.True(ended > 800) // the lease that the start requested
 	poll, ok := h.NextPoll(after(2100))
 	h.is.True(ok)
-	h.is.Equal(poll.LastSeen, int64(1))
+	h.is.Equal(poll.AckUpTo, int64(1))
 }
--- a/core/runner/orders.go
+++ b/core/runner/orders.go
@@ -165,8 +165,8 @@
 	Worker string
 	Born   int64
 	Token  int64
-	// LastSeen is the number up to which the worker may forget its ends.
-	LastSeen int64
+	// AckUpTo is the number up to which the worker may forget its ends.
+	AckUpTo int64
 	// Deadline is the end of the requested lease on the worker's clock in ms; 0 requests none.
 	Deadline int64
 	// Wait is how long the worker shall wait for an end before it answers.
@@ -200,11 +200,11 @@
 	}
 	c.polledAt = now
 	poll := Poll{
-		Worker: c.worker.info.ID, Born: c.worker.info.Born, Token: c.worker.token, LastSeen: c.ackUpTo(), SentAt: now,
+		Worker: c.worker.info.ID, Born: c.worker.info.Born, Token: c.worker.token, AckUpTo: c.ackUpTo(), SentAt: now,
 		epoch: c.worker.epoch,
 	}
 	if c.mayHaveRestarted() {
-		poll.LastSeen = 0
+		poll.AckUpTo = 0
 		return poll, true
 	}
 	if lease := c.leaseToRequest(); lease > 0 {
@@ -270,7 +270,7 @@
 	case Accepted:
 		c.worker.restartSuspected = false
 		c.resolveExpiredEnds(false)
-		c.worker.acknowledged = max(c.worker.acknowledged, poll.LastSeen)
+		c.worker.acknowledged = max(c.worker.acknowledged, poll.AckUpTo)
 		c.worker.answeredPollAt = poll.SentAt
 		c.retireCandidate()
 		c.resetUnanswered()
@@ -341,12 +341,12 @@
 		if r == nil {
 			r = &run{key: listed.Key, orphan: true, phase: phaseOrdered, orderedAt: c.now, incarnation: c.worker.info.Incarnation()}
 			c.runs.Put(listed.Key, r)
-			c.logDecision("orphan", r, runs.NoReason)
+			c.logDecision("orphan", r, runs.ReasonNone)
 		}
 		if r.phase == phaseWaiting {
 			continue // a run with the same key of a previous process; its stop ends it
 		}
-		r.incarnation, r.lossReason, r.suspect = c.worker.info.Incarnation(), runs.NoReason, false
+		r.incarnation, r.lossReason, r.suspect = c.worker.info.Incarnation(), runs.ReasonNone, false
 		c.markRunning(r)
 		r.percentDone = listed.Percent
 		r.checkpoint = listed.Checkpoint
--- a/core/runner/restart_test.go
+++ b/core/runner/restart_test.go
@@ -118,15 +118,15 @@
 		Running: []Running{{Key: key("t2")}}, Ended: []Ended{{Number: 57, Key: key("t1"), Outcome: runs.OutcomeDone}},
 	})
 	poll, _ := h.NextPoll(after(6))
-	h.is.Equal(poll.LastSeen, int64(57))
+	h.is.Equal(poll.AckUpTo, int64(57))
 	h.PollAnswered(after(90), poll, Answer{Status: NoAnswer}, Listing{})
 	poll, _ = h.NextPoll(after(91))
-	h.is.Equal(poll.LastSeen, int64(0))
+	h.is.Equal(poll.AckUpTo, int64(0))
 	h.is.Equal(poll.Deadline, int64(0))
 	h.is.Equal(len(startsOf(h.send(after(92), "t3"))), 0) // nothing starts either
 	h.PollAnswered(after(93), poll, Answer{Status: Accepted, Clock: 500_093, Born: firstStart}, Listing{Running: []Running{{Key: key("t2")}}})
 	poll, _ = h.NextPoll(after(94))
-	h.is.Equal(poll.LastSeen, int64(57))
+	h.is.Equal(poll.AckUpTo, int64(57))
 	h.is.Equal(startsOf(h.Flush(after(94))), []runs.Key{key("t3")})
 }
 
--- a/core/runner/run.go
+++ b/core/runner/run.go
@@ -100,7 +100,7 @@
 		durable: s.Durable, startBy: c.now.Add(s.Slack), latestStart: time.Unix(0, sentAt).Add(s.StartTimeout),
 	}
 	c.loadChanged = true
-	if reason := c.refusalReason(l, r); reason != runs.NoReason {
+	if reason := c.refusalReason(l, r); reason != runs.ReasonNone {
 		c.finish(r, runs.End{Key: r.key, Outcome: runs.OutcomeRefused, Reason: reason})
 		return
 	}
@@ -112,7 +112,7 @@
 	c.queue.add(r)
 }
 
-// refusalReason returns why a run cannot be admitted, or NoReason.
+// refusalReason returns why a run cannot be admitted, or ReasonNone.
 func (c *Core) refusalReason(l *link, r *run) runs.Reason {
 	switch {
 	case c.draining || c.worker.info.Draining || l.isReleased():
@@ -128,7 +128,7 @@
 	case !c.worker.info.Capacity.Fits(r.need) || len(c.queue) >= c.settings.QueueLimit:
 		return runs.ReasonNoCapacity
 	}
-	return runs.NoReason
+	return runs.ReasonNone
 }
 
 // startWaiting orders the start of waiting runs that fit, the most urgent first. A smaller run
@@ -220,7 +220,7 @@
 		c.finish(r, runs.End{Key: r.key, Outcome: runs.OutcomeRefused, Reason: reason})
 		return
 	}
-	if r.stopReason != runs.NoReason {
+	if r.stopReason != runs.ReasonNone {
 		return
 	}
 	r.stopReason = reason
@@ -285,7 +285,7 @@
 // retryStops repeats stops whose runs have not ended.
 func (c *Core) retryStops() {
 	for r := range c.runs.Values() {
-		if r.stopReason != runs.NoReason && c.now.Sub(r.stopOrderedAt) >= stopRetryInterval {
+		if r.stopReason != runs.ReasonNone && c.now.Sub(r.stopOrderedAt) >= stopRetryInterval {
 			c.orderStop(r)
 		}
 	}
--- a/core/runner/worker.go
+++ b/core/runner/worker.go
@@ -320,7 +320,7 @@
 		r.start.Estimate = o.Estimate
 		r.durable = o.Durable
 		c.loadChanged = true
-		c.logDecision("adopt", r, runs.NoReason)
+		c.logDecision("adopt", r, runs.ReasonNone)
 	}
 }
 
--- a/core/wake/wake.go
+++ b/core/wake/wake.go
@@ -33,8 +33,8 @@
 	Slots int
 	// IsLinked is set if there is a link to the agent of the worker.
 	IsLinked bool
-	// Resting is set while the agent refuses new tasks because an entry asked it to rest.
-	Resting bool
+	// IsResting is set while the agent refuses new tasks because an entry asked it to rest.
+	IsResting bool
 	// Load is the number of tasks at the agent by its last load report.
 	Load int
 }
@@ -108,7 +108,7 @@
 	awakeSlots, wakingSlots := 0, 0
 	for _, w := range workers {
 		switch {
-		case w.Power == Awake && !w.Resting:
+		case w.Power == Awake && !w.IsResting:
 			awakeSlots += w.Slots
 		case w.Power == Waking:
 			wakingSlots += w.Slots
@@ -184,7 +184,7 @@
 	var least *Worker
 	for i := range workers {
 		w := &workers[i]
-		if w.Power != Awake || w.Resting {
+		if w.Power != Awake || w.IsResting {
 			continue
 		}
 		awake++
@@ -210,7 +210,7 @@
 func readyToSleep(workers []Worker) []string {
 	var list []string
 	for _, w := range workers {
-		if w.Power == Awake && w.IsLinked && w.Resting && w.Load == 0 {
+		if w.Power == Awake && w.IsLinked && w.IsResting && w.Load == 0 {
 			list = append(list, w.ID)
 		}
 	}
--- a/core/wake/wake_test.go
+++ b/core/wake/wake_test.go
@@ -40,7 +40,7 @@
 	plan := d.Decide(start.Add(11*time.Second), 1, workers, true)
 	is.Equal(len(plan.Rest), 1)
 	is.Equal(len(plan.Sleep), 0) // it must rest first
-	workers[0].Resting, workers[0].Load = true, 1
+	workers[0].IsResting, workers[0].Load = true, 1
 	is.Equal(len(d.Decide(start.Add(12*time.Second), 1, workers, true).Sleep), 0) // a task is still running
 	workers[0].Load = 0
 	is.Equal(d.Decide(start.Add(13*time.Second), 1, workers, true).Sleep, []string{"0"})
@@ -50,7 +50,7 @@
 	is := is.New(t)
 	d := New(Params{})
 	workers := newWorkers(3, 0)
-	workers[0].Resting = true
+	workers[0].IsResting = true
 	plan := d.Decide(start.Add(time.Hour), 0, workers, false)
 	is.Equal(len(plan.Sleep)+len(plan.Rest), 0)
 }
--- a/lab/emulator/drains.go
+++ b/lab/emulator/drains.go
@@ -98,7 +98,7 @@
 // centres.
 func (a *agentProcess) queryDrains() {
 	sim := a.sim
-	if !a.core.DrainsUnconfirmed(sim.now) || sim.now.Sub(a.drainsQueriedAt) < agentDrainQueryInterval {
+	if !a.core.IsDrainViewStale(sim.now) || sim.now.Sub(a.drainsQueriedAt) < agentDrainQueryInterval {
 		return
 	}
 	a.drainsQueriedAt = sim.now
--- a/lab/emulator/store.go
+++ b/lab/emulator/store.go
@@ -116,7 +116,7 @@
 // whether the core received input, so that its output has to be read again.
 func (e *entryProcess) applyToLedger(out *batch.Output) bool {
 	now := e.sim.now
-	for _, name := range out.Disowned {
+	for _, name := range out.OwnershipExpired {
 		e.ledger.HandleOwnershipExpired(now, name)
 	}
 	for _, r := range out.Records {
@@ -144,7 +144,7 @@
 		e.answerDurable(a)
 	}
 	for _, name := range ledgerOut.Lost {
-		e.core.Disown(now, name)
+		e.core.StopLost(now, name)
 	}
 	for _, name := range ledgerOut.Cancelled {
 		e.core.CancelDurable(now, name)
@@ -153,7 +153,7 @@
 		e.core.RecordStored(now, s.Job, s.Seq)
 	}
 	for _, o := range ledgerOut.Acquired {
-		e.core.Own(now, &batch.DurableJob{
+		e.core.RunDurable(now, &batch.DurableJob{
 			Job: o.Job, Queue: e.sim.jobs[o.Job].queue, Spec: o.Row.Spec, Steps: o.Row.Steps, Progress: o.Row.Progress, SafeAt: o.SafeAt,
 		})
 	}
--- a/lab/emulator/worker.go
+++ b/lab/emulator/worker.go
@@ -335,10 +335,10 @@
 	if w.running.Len() > 0 {
 		w.extendLease(request.Deadline)
 	}
-	w.sim.checker.acknowledgeEnds(w, request.LastSeen)
+	w.sim.checker.acknowledgeEnds(w, request.AckUpTo)
 	unacknowledged := w.heldEnds[:0:0]
 	for _, e := range w.heldEnds {
-		if e.Number > request.LastSeen {
+		if e.Number > request.AckUpTo {
 			unacknowledged = append(unacknowledged, e)
 		}
 	}
--- a/service/agent/agent.go
+++ b/service/agent/agent.go
@@ -212,7 +212,7 @@
 	for _, e := range out.Executions {
 		go a.execute(e)
 	}
-	for _, id := range out.Stops {
+	for _, id := range out.StopExecutions {
 		go a.backend.Stop(id)
 	}
 }
--- a/service/batch/durable.go
+++ b/service/batch/durable.go
@@ -30,8 +30,8 @@
 
 // JobStore is the part of the store that keeps durable jobs.
 type JobStore interface {
-	// Jobs reads all rows.
-	Jobs(ctx context.Context) (Changes, error)
+	// ReadJobs reads all rows.
+	ReadJobs(ctx context.Context) (Changes, error)
 	// JobChanges waits for changes after a position, at most for wait.
 	JobChanges(ctx context.Context, after uint64, wait time.Duration) (Changes, error)
 	// JobPartitions returns the number of partitions; each takes writes independently. JobPartition
@@ -157,7 +157,7 @@
 // not at all if a request needs fresher jobs or ownership is not confirmed.
 func (d *durableJobs) poll(ctx context.Context, loaded bool, after uint64) (Changes, error) {
 	if !loaded {
-		return d.entry.deps.Store.Jobs(ctx)
+		return d.entry.deps.Store.ReadJobs(ctx)
 	}
 	wait := jobPollWait
 	switch {
@@ -179,7 +179,7 @@
 // applyCoreOutput passes to the ledger what the core has produced for it. It runs in the event
 // loop.
 func (d *durableJobs) applyCoreOutput(now time.Time, out *core.Output) {
-	for _, name := range out.Disowned {
+	for _, name := range out.OwnershipExpired {
 		d.ledger.HandleOwnershipExpired(now, name)
 	}
 	for _, r := range out.Records {
@@ -271,7 +271,7 @@
 		}
 	}
 	for _, name := range out.Lost {
-		e.core.Disown(now, name)
+		e.core.StopLost(now, name)
 	}
 	for _, name := range out.Cancelled {
 		e.core.CancelDurable(now, name)
@@ -302,7 +302,7 @@
 		e.log.Warn().Str("job", acquired.Job).Str("queue", acquired.Row.Queue).Msg("entry: the queue of a durable job is not configured")
 		return
 	}
-	e.core.Own(now, &core.DurableJob{
+	e.core.RunDurable(now, &core.DurableJob{
 		Job: acquired.Job, Queue: config.QueueByName(acquired.Row.Queue), Version: config.Version, Spec: acquired.Row.Spec, Steps: acquired.Row.Steps,
 		Progress: acquired.Row.Progress, SafeAt: acquired.SafeAt,
 	})
--- a/service/batch/durable_test.go
+++ b/service/batch/durable_test.go
@@ -17,7 +17,7 @@
 	answered atomic.Int64
 }
 
-func (s *emptyStore) Jobs(context.Context) (Changes, error) { return Changes{Next: 1}, nil }
+func (s *emptyStore) ReadJobs(context.Context) (Changes, error) { return Changes{Next: 1}, nil }
 
 func (s *emptyStore) JobChanges(ctx context.Context, after uint64, wait time.Duration) (Changes, error) {
 	select {
--- a/service/batch/entry.go
+++ b/service/batch/entry.go
@@ -228,7 +228,7 @@
 	e.core.UpdateDrains(now, e.drains.view(now))
 	e.core.Tick(now)
 	e.durable.tick(now)
-	e.workers.Store(int64(e.core.Workers()))
+	e.workers.Store(int64(e.core.UsableWorkers()))
 	e.peers.setShort(e.core.IsShortOfAgents(e.peers.exchangeCount() > 0))
 	e.updateGauges()
 }
--- a/service/batch/peers_test.go
+++ b/service/batch/peers_test.go
@@ -31,7 +31,7 @@
 // unavailableJobs is a JobStore whose calls fail.
 type unavailableJobs struct{}
 
-func (unavailableJobs) Jobs(context.Context) (Changes, error) { return Changes{}, errUnavailable }
+func (unavailableJobs) ReadJobs(context.Context) (Changes, error) { return Changes{}, errUnavailable }
 func (unavailableJobs) JobChanges(context.Context, uint64, time.Duration) (Changes, error) {
 	return Changes{}, errUnavailable
 }
--- a/service/claimstore/store.go
+++ b/service/claimstore/store.go
@@ -153,8 +153,8 @@
 	Waiting int
 	// Rate is this entry's share of the write budget, in transactions per second.
 	Rate float64
-	// Away reports an outage of the table service.
-	Away bool
+	// InOutage reports an outage of the table service.
+	InOutage bool
 }
 
 // Snapshot returns the state of the store, read in the goroutine of Run; the zero Snapshot if the
@@ -162,7 +162,7 @@
 func (s *Store) Snapshot(ctx context.Context) Snapshot {
 	snapshots := make(chan Snapshot, 1)
 	ok := s.post(func(time.Time) {
-		snapshots <- Snapshot{Stats: s.grouper.Stats(), Waiting: s.grouper.Waiting(), Rate: s.grouper.Rate(), Away: s.grouper.InOutage()}
+		snapshots <- Snapshot{Stats: s.grouper.Stats(), Waiting: s.grouper.Waiting(), Rate: s.grouper.Rate(), InOutage: s.grouper.InOutage()}
 	})
 	if !ok {
 		return Snapshot{}
--- a/service/entry/admin.go
+++ b/service/entry/admin.go
@@ -208,9 +208,9 @@
 
 func agentState(a *rank.Agent) string {
 	switch {
-	case a.Down:
+	case a.IsDown:
 		return "down"
-	case a.Leaving:
+	case a.NotAccepting:
 		return "leaving"
 	case a.IsEjected():
 		return "ejected"
@@ -321,7 +321,7 @@
 	e.post(func(core *dispatch.Core, _ time.Time) {
 		n := 0
 		for _, a := range core.Pool().Agents() {
-			if !a.Down && !a.Leaving {
+			if !a.IsDown && !a.NotAccepting {
 				n++
 			}
 		}
--- a/service/entry/entry.go
+++ b/service/entry/entry.go
@@ -161,7 +161,7 @@
 	s.MaxWaiting = e.settings.Limits.MaxWaiting
 	if conf != nil {
 		s.SetResponseWeight(conf.Document.Policy.ResponseWeight)
-		s.Rank.DrainedDataCentres = conf.Document.Drained
+		s.Rank.DrainedDataCentres = conf.Document.DrainedDataCentres
 	}
 	if e.deps.Policy != "" {
 		s.Rank.Policy = e.deps.Policy
--- a/service/entry/jobs.go
+++ b/service/entry/jobs.go
@@ -213,7 +213,7 @@
 	case wait == 0 && !cancel:
 		return nil, nil
 	}
-	_, reply := e.askOwner(dispatch.PeerAwait{Submission: submission, Owner: row.Owner, Cancel: cancel})
+	_, reply := e.askOwner(dispatch.OwnerQuery{Submission: submission, Owner: row.Owner, Cancel: cancel})
 	if reply == nil {
 		return nil, nil // the owner is unreachable; a resubmission or the sweep takes the submission over
 	}
--- a/service/entry/loop.go
+++ b/service/entry/loop.go
@@ -78,7 +78,7 @@
 			hasNewEvents = true
 		}
 	}
-	for _, req := range out.Awaits {
+	for _, req := range out.OwnerQueries {
 		go e.awaitOwner(req)
 	}
 	for _, dial := range out.Dials {
@@ -189,10 +189,10 @@
 		}
 		line.Str("submission", d.Submission).Uint32("task", d.Task).Uint32("attempt", d.Attempt)
 		if d.Agent.Agent != "" {
-			line.Str("agent", d.Agent.Agent).Dur("expected", d.Finish)
+			line.Str("agent", d.Agent.Agent).Dur("expected", d.ExpectedTime)
 		}
 		if d.RunnerUp.Agent != "" {
-			line.Str("runnerUp", d.RunnerUp.Agent).Dur("runnerUpExpected", d.RunnerUpFinish)
+			line.Str("runnerUp", d.RunnerUp.Agent).Dur("runnerUpExpected", d.RunnerUpExpectedTime)
 		}
 		if d.Reason != 0 {
 			line.Stringer("reason", d.Reason)
@@ -205,7 +205,7 @@
 const ownerWait = 5 * time.Second
 
 // awaitOwner asks the owner of a submission for its outcome and reports the answer to the core.
-func (e *Entry) awaitOwner(req dispatch.PeerAwait) {
+func (e *Entry) awaitOwner(req dispatch.OwnerQuery) {
 	status, reply := e.askOwner(req)
 	e.post(func(core *dispatch.Core, now time.Time) {
 		core.PeerReplied(now, req.Submission, req.Owner.Incarnation, status, reply)
@@ -214,7 +214,7 @@
 
 // askOwner asks the owner of a submission for its outcome. The status is PeerRefused if the owner's
 // incarnation has certainly ended; the reply is nil unless the status is PeerAnswered.
-func (e *Entry) askOwner(req dispatch.PeerAwait) (dispatch.PeerStatus, *wire.AwaitReply) {
+func (e *Entry) askOwner(req dispatch.OwnerQuery) (dispatch.PeerStatus, *wire.AwaitReply) {
 	dialCtx, cancelDial := context.WithTimeout(e.work, dialTimeout)
 	defer cancelDial()
 	conn, err := e.deps.Transport.Dial(dialCtx, req.Owner.Address)
--- a/service/entry/power.go
+++ b/service/entry/power.go
@@ -148,8 +148,8 @@
 	p.entry.post(func(core *dispatch.Core, _ time.Time) {
 		agents := make(map[string]agentPower)
 		for _, a := range core.Pool().Agents() {
-			if !a.Down {
-				agents[a.Worker] = agentPower{agent: a.ID, load: max(a.ReportedTasks, a.TasksInFlight), resting: a.Leaving}
+			if !a.IsDown {
+				agents[a.Worker] = agentPower{agent: a.ID, load: max(a.ReportedTasks, a.TasksInFlight), resting: a.NotAccepting}
 			}
 		}
 		answers <- answer{core.SlotDemand(), agents}
@@ -182,7 +182,7 @@
 		}
 		a, linked := agents[w.ID]
 		list = append(list, wake.Worker{
-			ID: w.ID, Power: effectivePower(w.Power, linked), Slots: w.Slots, IsLinked: linked, Resting: linked && a.resting, Load: a.load,
+			ID: w.ID, Power: effectivePower(w.Power, linked), Slots: w.Slots, IsLinked: linked, IsResting: linked && a.resting, Load: a.load,
 		})
 	}
 	return list
--- a/service/explain/explain.go
+++ b/service/explain/explain.go
@@ -160,7 +160,7 @@
 	if _, err := fmt.Fprintf(w, "ended: %s %s\n", end.Event, formatFields(end.Fields)); err != nil {
 		return eris.Wrap(err, "print")
 	}
-	if late, known := t.Late(); known && end.Event == "route: done" {
+	if late, known := t.LastTask(); known && end.Event == "route: done" {
 		if _, err := fmt.Fprintf(w, "  %s\n", late); err != nil {
 			return eris.Wrap(err, "print")
 		}
--- a/service/explain/explain_test.go
+++ b/service/explain/explain_test.go
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	var timeline Timeline
 	is.NoErr(timeline.Read("all", strings.NewReader(lateLogs), "j"))
-	late, ok := timeline.Late()
+	late, ok := timeline.LastTask()
 	is.True(ok)
 	is.Equal(late, LastTask{Task: "j.0.0.0", Worker: "w1", StartDelay: 1, Waited: 135, Ran: 65, ExpectedWait: 10, ExpectedRun: 60})
 	is.Equal(late.Cause(), "it waited for room")
--- a/service/explain/late.go
+++ b/service/explain/late.go
@@ -18,9 +18,9 @@
 	Deferred bool
 }
 
-// Late returns the task that ended last; ok is false if the logs lack its start at the entry or its
+// LastTask returns the task that ended last; ok is false if the logs lack its start at the entry or its
 // end at the agent.
-func (t *Timeline) Late() (late LastTask, ok bool) {
+func (t *Timeline) LastTask() (late LastTask, ok bool) {
 	end := t.lastLine("route: end", "", nil)
 	if end == nil {
 		return late, false
--- a/service/runner/agent.go
+++ b/service/runner/agent.go
@@ -321,7 +321,7 @@
 	if decision.Worker.ID != "" {
 		line.Str("worker", decision.Worker.ID).Int64("born", decision.Worker.Born).Int64("former_born", decision.Previous.Born)
 	}
-	if decision.Reason != runs.NoReason {
+	if decision.Reason != runs.ReasonNone {
 		line.Stringer("reason", decision.Reason)
 	}
 	if decision.Age != 0 {
--- a/service/runner/directory.go
+++ b/service/runner/directory.go
@@ -285,7 +285,7 @@
 }
 
 // maintainLink keeps a link to one entry open and reconnects it. It returns when the entry is no
-// longer wanted. It also returns when the entry has been unreachable for transport.ForgetAfter, and
+// longer wanted. It also returns when the entry has been unreachable for transport.UnreachableTimeout, and
 // then removes the entry from the directory.
 func (d *directory) maintainLink(ctx context.Context, address string, c *contact) {
 	ctx, stop := context.WithCancel(ctx)
--- a/service/runner/drains.go
+++ b/service/runner/drains.go
@@ -38,7 +38,7 @@
 
 // publishDrains copies the core's drain view to where other goroutines can read it.
 func (a *Agent) publishDrains(now time.Time) {
-	a.sharedDrains.unconfirmed.Store(a.core.DrainsUnconfirmed(now))
+	a.sharedDrains.unconfirmed.Store(a.core.IsDrainViewStale(now))
 	drained := a.core.DrainedDataCentres()
 	if slices.Equal(drained, a.sharedDrains.dataCentres()) {
 		return
--- a/wire/messages.go
+++ b/wire/messages.go
@@ -170,11 +170,11 @@
 type Phase uint8
 
 const (
-	Queued Phase = iota
-	Running
-	Done
-	// ResultDropped means that the attempt started and that its result was dropped.
-	ResultDropped
+	PhaseQueued Phase = iota
+	PhaseRunning
+	PhaseDone
+	// PhaseResultDropped means that the attempt started and that its result was dropped.
+	PhaseResultDropped
 )
 
 // TaskState reports one attempt in answer to a Fence.
@@ -206,7 +206,7 @@
 type Load struct {
 	Running int `cbor:"1,keyasint"`
 	Queued  int `cbor:"2,keyasint"`
-	// OwnedByReceiver is the number of Running and Queued tasks that the receiving entry owns.
+	// OwnedByReceiver is the number of running and queued tasks that the receiving entry owns.
 	OwnedByReceiver int `cbor:"3,keyasint"`
 }
 
--- a/wire/runs/messages.go
+++ b/wire/runs/messages.go
@@ -192,7 +192,7 @@
 
 // Reasons.
 const (
-	NoReason Reason = iota
+	ReasonNone Reason = iota
 	// ReasonNoCapacity: the run exceeds the worker's capacity, or the agent's queue is full.
 	ReasonNoCapacity
 	// ReasonStartTimeout: the order arrived, or its turn in the queue came, after Start.StartTimeout.
