--- a/lab/backendserver/server.go
+++ b/lab/backendserver/server.go
@@ -40,7 +40,7 @@
 type Result struct {
 	Server string `json:"server"`
 	Kind   string `json:"kind"`
-	// Checksum is the checksum of the payload; see Checksum.
+	// Checksum is the checksum of the payload, as the function Checksum returns it.
 	Checksum string `json:"sum"`
 }
 
@@ -101,8 +101,8 @@
 	return j.totalStarts, twice
 }
 
-// StartedTwice returns the tasks that were started more than once, of those for which keep returns true, in no
-// particular order.
+// StartedTwice returns the tasks for which keep returns true and that were started more than once, in
+// no particular order.
 func (j *Journal) StartedTwice(keep func(task string) bool) []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -127,7 +127,7 @@
 	runningTasks int
 	peakTasks    int
 	busyTime     time.Duration
-	// killed is closed by Die.
+	// killed is closed by Kill.
 	killed chan struct{}
 }
 
@@ -146,7 +146,7 @@
 // Address returns the IP:port of the server.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Serve accepts connections until Die.
+// Serve accepts connections until Kill is called.
 func (s *Server) Serve() error { return s.http.Serve(s.listener) }
 
 // SetFaults replaces the faults for tasks that start from now on.
--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -136,8 +136,8 @@
 		body.Tasks = append(body.Tasks, caller.Task{Service: cluster.AssociationService, Kind: "tray-scan", Payload: json.RawMessage(`{}`)})
 	}
 	var clients []*caller.Client
-	for _, m := range c.Entries() {
-		clients = append(clients, caller.New(m.Entry.Address(), cluster.AssociationTeam))
+	for _, e := range c.Entries() {
+		clients = append(clients, caller.New(e.Entry.Address(), cluster.AssociationTeam))
 	}
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / jobsPerSecond))
 	defer ticker.Stop()
@@ -177,8 +177,8 @@
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// changeConfig stores new configuration versions at a rate, or more slowly if they are not in force by
-// then, and returns the longest time from a change until it was in force on every entry, in seconds.
+// changeConfig stores new configuration versions at a rate, each not before the previous one is in
+// force, and returns the longest time from a change until it was in force on every entry, in seconds.
 func changeConfig(ctx context.Context, c *cluster.Cluster, changesPerSecond float64) (float64, error) {
 	store := confwatch.NewStore(c.Table)
 	slowest := 0.0
@@ -211,8 +211,8 @@
 
 // inForce reports whether every entry has a configuration version or a later one.
 func inForce(c *cluster.Cluster, version uint64) bool {
-	for _, m := range c.Entries() {
-		if m.Entry.ConfigVersion() < version {
+	for _, e := range c.Entries() {
+		if e.Entry.ConfigVersion() < version {
 			return false
 		}
 	}
--- a/lab/cluster/api_test.go
+++ b/lab/cluster/api_test.go
@@ -18,7 +18,7 @@
 	"peridotpick.example/lab/caller"
 )
 
-// errorKind returns the error kind of a failed request; Internal if there was no answer.
+// errorKind returns the error kind of a request: OK if err is nil, Internal if there was no answer.
 func errorKind(err error) errkind.Kind {
 	var failure *caller.Failure
 	if errors.As(err, &failure) {
--- a/lab/cluster/bench_test.go
+++ b/lab/cluster/bench_test.go
@@ -183,8 +183,8 @@
 // inForce reports whether all running entries have the version or a later one. An entry that has just
 // started and has no configuration yet serves no request and does not count.
 func inForce(c *Cluster, version uint64) bool {
-	for _, m := range c.Entries() {
-		if v := m.Entry.ConfigVersion(); m.Running() && v != 0 && v < version {
+	for _, e := range c.Entries() {
+		if v := e.Entry.ConfigVersion(); e.Running() && v != 0 && v < version {
 			return false
 		}
 	}
@@ -206,8 +206,8 @@
 		began := time.Now()
 		for {
 			ok := true
-			for _, m := range c.Entries() {
-				ok = ok && m.Entry.UsableAgents() == want
+			for _, e := range c.Entries() {
+				ok = ok && e.Entry.UsableAgents() == want
 			}
 			if ok {
 				return time.Since(began)
--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -51,8 +51,8 @@
 	// Cores and MemoryMB are the resources of each worker.
 	Cores    int
 	MemoryMB int
-	// Credentials turns development mode off at the entries, so that callers need
-	// tokens; processes still talk without TLS on loopback.
+	// Credentials turns development mode off at the entries, so that callers need tokens; processes
+	// still connect without TLS on loopback.
 	Credentials bool
 	// Asleep is the number of workers asleep at the start, the last ones in the worker list.
 	Asleep int
@@ -91,9 +91,9 @@
 }
 
 // Running reports whether the entry has not ended.
-func (m *EntryInstance) Running() bool {
+func (e *EntryInstance) Running() bool {
 	select {
-	case <-m.done:
+	case <-e.done:
 		return false
 	default:
 		return true
@@ -101,10 +101,10 @@
 }
 
 // Stop drains the entry and waits for its end.
-func (m *EntryInstance) Stop() { m.stop(); <-m.done }
+func (e *EntryInstance) Stop() { e.stop(); <-e.done }
 
 // Kill ends the entry without draining it, as a crash would.
-func (m *EntryInstance) Kill() { m.Entry.Abort(); <-m.done }
+func (e *EntryInstance) Kill() { e.Entry.Abort(); <-e.done }
 
 // Cluster is a running deployment: its fake platform, its entries and its workers.
 type Cluster struct {
--- a/lab/cluster/guarantees_test.go
+++ b/lab/cluster/guarantees_test.go
@@ -301,8 +301,8 @@
 func TestAllEntriesReplacedAtOnce(t *testing.T) {
 	is := is.New(t)
 	c := startCluster(t, nil)
-	for _, m := range c.Entries() {
-		m.Kill()
+	for _, e := range c.Entries() {
+		e.Kill()
 	}
 	for range 3 {
 		_, err := c.AddEntry()
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -66,16 +66,16 @@
 	users := []struct {
 		name     string
 		team     string
-		shape    cluster.Spec
+		spec     cluster.Spec
 		examples []example
 	}{
 		{"Hospitality Waste Ledger Association", cluster.AssociationTeam, cluster.Association(), associationExamples()},
 		{"Dog Licensing Unit", cluster.LicensingTeam, cluster.Licensing(), licensingExamples()},
 	}
 	for _, user := range users {
-		user.shape.Logs = sink
-		user.shape.Seed = 1
-		if err := runUser(ctx, w, user.name, user.team, user.shape, user.examples); err != nil {
+		user.spec.Logs = sink
+		user.spec.Seed = 1
+		if err := runUser(ctx, w, user.name, user.team, user.spec, user.examples); err != nil {
 			return eris.Wrap(err, user.name)
 		}
 	}
--- a/lab/emulator/agent.go
+++ b/lab/emulator/agent.go
@@ -73,7 +73,7 @@
 	disconnectedAt time.Time
 }
 
-// simLink is a link between an agent and an entry. Both ends are told when it closes.
+// simLink is a link between an agent and an entry. Both ends are notified when it closes.
 type simLink struct {
 	id    uint64
 	agent *agentProcess
--- a/lab/emulator/callers.go
+++ b/lab/emulator/callers.go
@@ -26,7 +26,7 @@
 	// timeout is how long the caller waits for an answer.
 	timeout time.Duration
 	durable bool
-	// attempts is the number of submissions that the caller has left.
+	// submissionsLeft is the number of submissions that the caller has left.
 	submissionsLeft int
 	// retriesAfterRefusal is how often the caller submits the job again after a refusal.
 	retriesAfterRefusal int
--- a/lab/emulator/chart.go
+++ b/lab/emulator/chart.go
@@ -39,14 +39,14 @@
 
 // Draw writes two charts into dir: the outcomes of the jobs by the time at which they were
 // submitted, and by kind. They show the sums over all seeds.
-func (o *ExperimentResult) Draw(dir string) error {
+func (r *ExperimentResult) Draw(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return eris.Wrap(err, "create the report directory")
 	}
 	var byTime, byKind []Count
 	var kinds, windows []string
-	for i := range o.Trials {
-		s := &o.Trials[i]
+	for i := range r.Trials {
+		s := &r.Trials[i]
 		byTime, byKind = extend(byTime, len(s.Windows)), extend(byKind, len(s.Kinds))
 		kinds, windows = kinds[:0], windows[:0]
 		for n := range s.Windows {
@@ -58,8 +58,8 @@
 			kinds = append(kinds, s.Kinds[n].Name)
 		}
 	}
-	title := o.Deployment + ", " + o.Scenario
-	base := filepath.Join(dir, o.Deployment+"-"+o.Scenario)
+	title := r.Deployment + ", " + r.Scenario
+	base := filepath.Join(dir, r.Deployment+"-"+r.Scenario)
 	if err := drawStackedBars(base+"-time.svg", title+": jobs by the second from which they were sent", byTime, windows); err != nil {
 		return err
 	}
@@ -74,9 +74,9 @@
 }
 
 // addCount adds the numbers of jobs of another count.
-func (c *Count) addCount(o *Count) {
-	c.Jobs, c.InTime, c.Late = c.Jobs+o.Jobs, c.InTime+o.InTime, c.Late+o.Late
-	c.Refused, c.Failed = c.Refused+o.Refused, c.Failed+o.Failed
+func (c *Count) addCount(other *Count) {
+	c.Jobs, c.InTime, c.Late = c.Jobs+other.Jobs, c.InTime+other.InTime, c.Late+other.Late
+	c.Refused, c.Failed = c.Refused+other.Refused, c.Failed+other.Failed
 }
 
 // drawStackedBars draws a bar of stacked shares for each count and writes the chart to path.
--- a/lab/emulator/checker.go
+++ b/lab/emulator/checker.go
@@ -23,7 +23,7 @@
 	requests map[string]int
 	// openRequests counts the unanswered requests of each job.
 	openRequests map[string]int
-	// accepted holds the durable jobs whose callers were told that they are accepted.
+	// accepted holds the durable jobs whose callers received the answer that they are accepted.
 	accepted map[string]bool
 	// doneRuns holds the runs of each durable task that ended as done.
 	doneRuns         map[string][]*doneRun
--- a/lab/emulator/compare.go
+++ b/lab/emulator/compare.go
@@ -34,15 +34,15 @@
 	StdDev float64 `json:"spread"`
 }
 
-// Run runs the trials of the experiment. The outcome depends on the deployment, the scenario, the
+// Run runs the trials of the experiment. The result depends on the deployment, the scenario, the
 // policy and the seeds only.
 func (e *Experiment) Run(ctx context.Context) (*ExperimentResult, error) {
-	jobs := e.Parallelism
-	if jobs <= 0 {
-		jobs = max(runtime.NumCPU()/2, 1)
+	parallelism := e.Parallelism
+	if parallelism <= 0 {
+		parallelism = max(runtime.NumCPU()/2, 1)
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(jobs)
+	group.SetLimit(parallelism)
 	trials := make([]Summary, e.Seeds)
 	for i := range trials {
 		group.Go(func() error {
@@ -61,19 +61,19 @@
 	return out, nil
 }
 
-func (o *ExperimentResult) scores() []float64 {
-	list := make([]float64, len(o.Trials))
-	for i := range o.Trials {
-		list[i] = o.Trials[i].Score
+func (r *ExperimentResult) scores() []float64 {
+	list := make([]float64, len(r.Trials))
+	for i := range r.Trials {
+		list[i] = r.Trials[i].Score
 	}
 	return list
 }
 
 // Violations returns the violations of guarantees in all trials.
-func (o *ExperimentResult) Violations() []string {
+func (r *ExperimentResult) Violations() []string {
 	var list []string
-	for i := range o.Trials {
-		list = append(list, o.Trials[i].Violations...)
+	for i := range r.Trials {
+		list = append(list, r.Trials[i].Violations...)
 	}
 	return list
 }
@@ -98,7 +98,7 @@
 	Better     int     `json:"better"`
 }
 
-// Compare compares two outcomes of the same seeds.
+// Compare compares two results of the same seeds.
 func Compare(base, other *ExperimentResult) *Comparison {
 	c := &Comparison{Base: base, Other: other}
 	var differences []float64
--- a/lab/emulator/config.go
+++ b/lab/emulator/config.go
@@ -36,9 +36,9 @@
 	// share of them that is delayed by up to three seconds.
 	announceInterval time.Duration
 	delayedShare     float64
-	// pollWait is how long a poll of the worker waits for an end. crossCost is the time that the
-	// border between two data centres adds to a start and its end, remoteFactor the factor on the
-	// run time of a task away from its data.
+	// pollWait is how long a poll of the worker waits for an end. crossCost is the extra time
+	// of a start and its end if they are sent to another data centre, remoteFactor the factor on
+	// the run time of a task away from its data.
 	pollWait, crossCost time.Duration
 	remoteFactor        float64
 	// bootAgent and bootEntry are how long the processes take to start.
--- a/lab/emulator/crash_test.go
+++ b/lab/emulator/crash_test.go
@@ -43,7 +43,7 @@
 type crashTrial struct {
 	*simulation
 	crashing map[string]bool
-	// soundFailed counts the failed jobs that crash no worker, crashingFailed the failed jobs that
+	// otherFailed counts the failed jobs that crash no worker, crashingFailed the failed jobs that
 	// do, and crashingOpen the durable jobs of the latter that have not ended.
 	otherFailed, crashingFailed, crashingOpen int
 }
@@ -155,8 +155,8 @@
 		sim.repeat(2500*time.Millisecond, end, func() { crash(pick(sim, sim.workers, 0.05)) })
 		sim.repeat(6*time.Second, end, func() { crash(pick(sim, sim.workers, 0.3)) })
 		sim.run(30 * time.Second)
-		for _, b := range sim.checker.violations {
-			t.Errorf("seed %d: %s", seed, b)
+		for _, v := range sim.checker.violations {
+			t.Errorf("seed %d: %s", seed, v)
 		}
 		ct.countOutcomes()
 		failed += ct.otherFailed
--- a/lab/emulator/drains_test.go
+++ b/lab/emulator/drains_test.go
@@ -111,8 +111,8 @@
 		}
 	})
 	sim.run(12 * time.Second)
-	for _, b := range sim.checker.violations {
-		t.Error(b)
+	for _, v := range sim.checker.violations {
+		t.Error(v)
 	}
 	if took := lastStart.Sub(simulationStart) - 3*time.Second; took > maxDrainDelay/10 {
 		t.Errorf("runs were started until %v after the drain", took)
--- a/lab/emulator/durable_test.go
+++ b/lab/emulator/durable_test.go
@@ -70,6 +70,8 @@
 	return ended
 }
 
+// TestDurableSchedules checks that all guarantees hold for durable and awaited jobs under random
+// faults, and that all accepted durable jobs end.
 func TestDurableSchedules(t *testing.T) {
 	accepted, done := 0, 0
 	simulateSeeds(t, *seeds/3, simulateDurableJobs, func(sim *simulation) {
--- a/lab/emulator/faults.go
+++ b/lab/emulator/faults.go
@@ -147,8 +147,8 @@
 
 const bootJitter = 150 * time.Millisecond
 
-// fail kills an entry. If it fails silently, its callers are not told that their connections are
-// lost.
+// fail kills an entry. If it fails silently, its callers are not notified that their connections
+// are lost.
 func (e *entryProcess) fail(downtime time.Duration, silent bool) {
 	if e.dead {
 		return
--- a/lab/emulator/links.go
+++ b/lab/emulator/links.go
@@ -66,7 +66,7 @@
 	})
 }
 
-// close closes a link. Each end is told after its own delay.
+// close closes a link. Each end is notified after its own delay.
 func (l *simLink) close() {
 	if !l.open {
 		return
--- a/lab/emulator/lost_stops_test.go
+++ b/lab/emulator/lost_stops_test.go
@@ -55,8 +55,8 @@
 // present process.
 func TestLostStopRegressions(t *testing.T) {
 	for _, seed := range []uint64{23, 73, 101, 668, 751, 906, 212, 805, 1036, 1288, 201, 291, 1417} {
-		for _, b := range simulateLostStops(seed).checker.violations {
-			t.Errorf("seed %d: %s", seed, b)
+		for _, v := range simulateLostStops(seed).checker.violations {
+			t.Errorf("seed %d: %s", seed, v)
 		}
 	}
 }
--- a/lab/emulator/report.go
+++ b/lab/emulator/report.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// PrintHeader writes the header of the table of outcomes.
+// PrintHeader writes the header of the table of experiment results. PrintRow adds the rows.
 func PrintHeader(out io.Writer) *tabwriter.Writer {
 	const cellGap = 2
 	table := tabwriter.NewWriter(out, 0, 0, cellGap, ' ', tabwriter.AlignRight)
@@ -15,13 +15,14 @@
 	return table
 }
 
-// PrintRow writes an outcome as a table row: means over its seeds, and job counts summed over them.
-func (o *ExperimentResult) PrintRow(table io.Writer) {
+// PrintRow writes a result as a table row: means over its seeds, the number of jobs of all seeds, and
+// the shares of their outcomes.
+func (r *ExperimentResult) PrintRow(table io.Writer) {
 	var c Count
 	var sum Summary
-	n := float64(len(o.Trials))
-	for i := range o.Trials {
-		s := &o.Trials[i]
+	n := float64(len(r.Trials))
+	for i := range r.Trials {
+		s := &r.Trials[i]
 		c.Jobs, c.InTime, c.Late = c.Jobs+s.Jobs, c.InTime+s.InTime, c.Late+s.Late
 		c.Refused, c.Failed = c.Refused+s.Refused, c.Failed+s.Failed
 		sum.Bound, sum.Nines, sum.WorstWindows = sum.Bound+s.Bound/n, sum.Nines+s.Nines/n, sum.WorstWindows+s.WorstWindows/n
@@ -30,17 +31,17 @@
 	}
 	share := func(part int) float64 { return float64(part) / float64(max(c.Jobs, 1)) }
 	fmt.Fprintf(table, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.2f\t%.2f\t%.2f\t%.3f\t%.4f\t%d\t%.4f\t%.4f\t%.4f\t%.4f\t%d\t\n",
-		o.Scenario, o.disabledMechanisms(), o.Score, o.StdDev, sum.Bound, sum.Nines, sum.WorstWindows, sum.WorstKind, sum.Wasted, sum.VainWait,
-		c.Jobs, share(c.InTime), share(c.Late), share(c.Refused), share(c.Failed), len(o.Violations()))
+		r.Scenario, r.disabledMechanisms(), r.Score, r.StdDev, sum.Bound, sum.Nines, sum.WorstWindows, sum.WorstKind, sum.Wasted, sum.VainWait,
+		c.Jobs, share(c.InTime), share(c.Late), share(c.Refused), share(c.Failed), len(r.Violations()))
 }
 
 // disabledMechanisms returns the names of the mechanisms that were disabled, or "-".
-func (o *ExperimentResult) disabledMechanisms() string {
-	if len(o.Without) == 0 {
+func (r *ExperimentResult) disabledMechanisms() string {
+	if len(r.Without) == 0 {
 		return "-"
 	}
 	var names []string
-	for _, m := range o.Without {
+	for _, m := range r.Without {
 		names = append(names, string(m))
 	}
 	return strings.Join(names, ",")
--- a/lab/emulator/scenario.go
+++ b/lab/emulator/scenario.go
@@ -42,7 +42,7 @@
 	// all.
 	Kind       string `json:"kind"`
 	DataCentre string `json:"dataCentre"`
-	// Silent faults break no connection, so that the other side is not told.
+	// Silent faults close no connection, so that the other side is not notified.
 	Silent bool `json:"silent"`
 }
 
--- a/lab/emulator/schedule_test.go
+++ b/lab/emulator/schedule_test.go
@@ -135,6 +135,7 @@
 	return sim
 }
 
+// TestSchedules checks that all guarantees hold for awaited jobs under random faults.
 func TestSchedules(t *testing.T) {
 	done, starts := 0, 0
 	simulateSeeds(t, *seeds, simulateSchedule, func(sim *simulation) {
@@ -155,8 +156,8 @@
 	for seed := first; seed <= last; seed++ {
 		sim := simulate(seed)
 		inspect(sim)
-		for _, b := range sim.checker.violations {
-			t.Errorf("seed %d: %s", seed, b)
+		for _, v := range sim.checker.violations {
+			t.Errorf("seed %d: %s", seed, v)
 		}
 		for _, line := range sim.eventLog {
 			t.Log(line)
@@ -204,8 +205,8 @@
 			}
 		})
 		sim.run(10 * time.Second)
-		for _, b := range sim.checker.violations {
-			t.Errorf("seed %d: %s", seed, b)
+		for _, v := range sim.checker.violations {
+			t.Errorf("seed %d: %s", seed, v)
 		}
 	}
 }
--- a/lab/emulator/simulation.go
+++ b/lab/emulator/simulation.go
@@ -19,6 +19,7 @@
 	action func()
 }
 
+// events is a heap of events, ordered by time.
 type events []event
 
 func (e events) Len() int { return len(e) }
--- a/lab/emulator/stats.go
+++ b/lab/emulator/stats.go
@@ -55,8 +55,8 @@
 // waitedInVain reports whether the caller waited longer than maxVainWaitShare and no task ever
 // started.
 func (r *jobRecord) waitedInVain() bool {
-	nothing := r.outcome == outcomeRefused || r.outcome == outcomeUnanswered
-	return nothing && !r.started && float64(r.ended-r.sent) > maxVainWaitShare*float64(r.objective)
+	noResult := r.outcome == outcomeRefused || r.outcome == outcomeUnanswered
+	return noResult && !r.started && float64(r.ended-r.sent) > maxVainWaitShare*float64(r.objective)
 }
 
 // stats collects the outcomes of the jobs and the work done in a trial.
--- a/lab/emulator/store.go
+++ b/lab/emulator/store.go
@@ -8,7 +8,8 @@
 	"peridotpick.example/wire/runs"
 )
 
-// Time constants of the store and of its clients.
+// Time constants of the store and of its clients: one-way latency, timeout of a request, and interval
+// of reads of the change feed.
 const (
 	storeOneWay        = 5 * time.Millisecond
 	storeTimeout       = 300 * time.Millisecond
@@ -102,10 +103,10 @@
 	}
 	incarnation := e.incarnation
 	sim.schedule(storeOneWay, func() {
-		outcome := sim.store.write(write)
+		result := sim.store.write(write)
 		sim.schedule(storeOneWay, func() {
 			e.handle(incarnation, func() {
-				e.ledger.HandleWriteResult(sim.now, write, outcome)
+				e.ledger.HandleWriteResult(sim.now, write, result)
 				e.perform()
 			})
 		})
--- a/lab/emulator/subset_test.go
+++ b/lab/emulator/subset_test.go
@@ -70,8 +70,8 @@
 		sim.schedule(time.Second+time.Duration(n)*100*time.Millisecond, func() { changeSubset(sim) })
 	}
 	sim.run(10 * time.Second)
-	for _, b := range sim.checker.violations {
-		t.Error(b)
+	for _, v := range sim.checker.violations {
+		t.Error(v)
 	}
 	if sim.checker.jobsDone < 95 {
 		t.Errorf("%d of 100 jobs done", sim.checker.jobsDone)
--- a/lab/emulator/summary.go
+++ b/lab/emulator/summary.go
@@ -22,11 +22,13 @@
 	// Failed are all others: failed, unanswered, or ended too late to be useful.
 	Failed int `json:"failed"`
 	// Credit is the share of the jobs' total worth that was earned.
-	Credit       float64 `json:"credit"`
-	earned, owed float64
+	Credit float64 `json:"credit"`
+	// earnedWorth is the worth that the jobs earned, totalWorth what they would have earned if all had
+	// ended within their objective.
+	earnedWorth, totalWorth float64
 }
 
-// Summary is the outcome of a trial.
+// Summary has the job counts, the score and the violations of a trial.
 type Summary struct {
 	Seed uint64 `json:"seed"`
 	Count
@@ -66,22 +68,22 @@
 
 func (c *Count) add(r *jobRecord) {
 	c.Jobs++
-	c.owed += r.worth
+	c.totalWorth += r.worth
 	took := r.ended - r.sent
 	switch {
 	case r.outcome == outcomeServed && took <= r.objective:
 		c.InTime++
-		c.earned += r.worth
+		c.earnedWorth += r.worth
 	case r.outcome == outcomeServed && took <= lateFactor*r.objective:
 		c.Late++
-		c.earned += r.lateWorth
+		c.earnedWorth += r.lateWorth
 	case r.outcome == outcomeRefused:
 		c.Refused++
 	default:
 		c.Failed++
 	}
-	if c.owed > 0 {
-		c.Credit = c.earned / c.owed
+	if c.totalWorth > 0 {
+		c.Credit = c.earnedWorth / c.totalWorth
 	}
 }
 
@@ -115,8 +117,8 @@
 	for i := range s.Windows {
 		s.Windows[i].Utilization = r.utilization(warmUp + time.Duration(i)*windowLength)
 	}
-	if s.owed > 0 {
-		s.VainWait = vainWait / s.owed
+	if s.totalWorth > 0 {
+		s.VainWait = vainWait / s.totalWorth
 	}
 	if work := r.stats.doneWork + r.stats.wastedWork; work > 0 {
 		s.Wasted = r.stats.wastedWork / work
--- a/lab/emulator/trial.go
+++ b/lab/emulator/trial.go
@@ -219,10 +219,10 @@
 			j.cancelAfter = time.Duration(t.rand.Float64() * float64(k.queue.Objective(criticalPath(works))))
 		}
 	})
-	errors := rand.New(rand.NewPCG(uint64(t.jobCount), t.rand.Uint64()))
+	failureRand := rand.New(rand.NewPCG(uint64(t.jobCount), t.rand.Uint64()))
 	j.taskWork = func(key runs.Key) (time.Duration, bool) {
 		step, index := stepAndIndex(key.Task)
-		return works[step][index], failing || errors.Float64() < k.FailureShare
+		return works[step][index], failing || failureRand.Float64() < k.FailureShare
 	}
 	j.record = t.newRecord(now, k, dataCentre, j, works)
 	if failing || j.cancelAfter > 0 {
@@ -347,5 +347,6 @@
 	}
 }
 
-// EventLog returns the event log.
+// EventLog returns the lines of the event log; it is empty unless Simulate was called with
+// logEvents.
 func (r *TrialResult) EventLog() []string { return r.eventLog }
--- a/lab/emulator/trial_test.go
+++ b/lab/emulator/trial_test.go
@@ -28,9 +28,9 @@
 	t.Helper()
 	d, s := loadPackaged(t, "small", scenario)
 	e := Experiment{Deployment: d, Scenario: s, Policy: p, FirstSeed: 1, Seeds: seeds, Parallelism: 2}
-	o, err := e.Run(context.Background())
+	result, err := e.Run(context.Background())
 	is.New(t).NoErr(err)
-	return o
+	return result
 }
 
 func policyWithout(t *testing.T, names ...string) policy.Policy {
@@ -41,10 +41,10 @@
 }
 
 // unserved returns the share of jobs without a useful answer, over all seeds.
-func (o *ExperimentResult) unserved() float64 {
+func (r *ExperimentResult) unserved() float64 {
 	var c Count
-	for i := range o.Trials {
-		c.addCount(&o.Trials[i].Count)
+	for i := range r.Trials {
+		c.addCount(&r.Trials[i].Count)
 	}
 	return c.unserved()
 }
@@ -88,8 +88,8 @@
 // TestCalmLoadIsServed checks that without faults nearly all jobs are served.
 func TestCalmLoadIsServed(t *testing.T) {
 	is := is.New(t)
-	o := runExperiment(t, "calm", policy.Policy{}, 2)
-	is.True(o.unserved() < 0.001)
+	result := runExperiment(t, "calm", policy.Policy{}, 2)
+	is.True(result.unserved() < 0.001)
 }
 
 // TestDeferringServesBurst compares the policy with and without deferring under a burst and under
@@ -109,9 +109,9 @@
 // urgent kind.
 func TestYieldingServesUrgentJobs(t *testing.T) {
 	is := is.New(t)
-	lost := func(o *ExperimentResult) (n int) {
-		for i := range o.Trials {
-			n += o.Trials[i].Kinds[0].Refused + o.Trials[i].Kinds[0].Failed
+	lost := func(result *ExperimentResult) (n int) {
+		for i := range result.Trials {
+			n += result.Trials[i].Kinds[0].Refused + result.Trials[i].Kinds[0].Failed
 		}
 		return n
 	}
@@ -168,8 +168,8 @@
 func TestChartsAreDrawn(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	o := runExperiment(t, "calm", policy.Policy{}, 1)
-	is.NoErr(o.Draw(dir))
+	result := runExperiment(t, "calm", policy.Policy{}, 1)
+	is.NoErr(result.Draw(dir))
 	for _, name := range []string{"small-calm-time.svg", "small-calm-kind.svg"} {
 		raw, err := os.ReadFile(filepath.Join(dir, name))
 		is.NoErr(err)
--- a/lab/emulator/upper_bound.go
+++ b/lab/emulator/upper_bound.go
@@ -25,16 +25,16 @@
 	b := newUpperBound(r.healthyCores)
 	jobs := append([]*jobRecord(nil), r.stats.records...)
 	sort.SliceStable(jobs, func(i, k int) bool { return jobs[i].worth*jobs[k].work > jobs[k].worth*jobs[i].work })
-	earned, owed := 0.0, 0.0
+	earnedWorth, totalWorth := 0.0, 0.0
 	for _, j := range jobs {
-		owed += j.worth
+		totalWorth += j.worth
 		part := b.reserve(j)
-		earned += part*j.worth + (1-part)*j.lateWorth
+		earnedWorth += part*j.worth + (1-part)*j.lateWorth
 	}
-	if owed == 0 {
+	if totalWorth == 0 {
 		return 1
 	}
-	return earned / owed
+	return earnedWorth / totalWorth
 }
 
 // upperBound holds the capacity and the reserved work of spans of slots.
--- a/lab/emulator/worker.go
+++ b/lab/emulator/worker.go
@@ -174,6 +174,7 @@
 	}
 }
 
+// clock returns the time of the worker's clock in ms, which has its own start and rate.
 func (w *worker) clock() int64 {
 	return int64(float64(w.sim.now.Sub(w.clockStart).Milliseconds()) * w.clockRate)
 }
@@ -241,13 +242,13 @@
 		return runner.Answer{Status: runner.RefusedFence, Clock: w.clock()}
 	}
 	w.token = o.Token
-	verdict := runner.Accepted
+	status := runner.Accepted
 	if o.Kind == runner.OrderStop {
 		w.stop(o.Key)
 	} else {
-		verdict = w.start(o, need)
+		status = w.start(o, need)
 	}
-	return runner.Answer{Status: verdict, Clock: w.clock()}
+	return runner.Answer{Status: status, Clock: w.clock()}
 }
 
 // stop stops a run within 50 ms and prevents later starts of the run.
--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -19,7 +19,7 @@
 	// are reported; several kinds of a mix may have one Name and different classes.
 	Name  string
 	Class string
-	// Share is the part of all requests that are of this kind, 0 to 1.
+	// Share is the share of all requests that are of this kind, 0 to 1.
 	Share float64
 	// MinTasks and MaxTasks bound the number of tasks of a request. If MaxTasks is 1, requests are sent as
 	// calls, otherwise as jobs.
@@ -28,7 +28,7 @@
 	Keyed bool
 	// AtMostOnce is true if a task must not be started twice.
 	AtMostOnce bool
-	// LongShare is the part of tasks with a run time of several seconds, 0 to 1.
+	// LongShare is the share of tasks with a run time of several seconds, 0 to 1.
 	LongShare float64
 }
 
@@ -95,18 +95,18 @@
 	nightLoad = 0.1
 )
 
-// loadAt returns the load at a time of a run as a part of capacity. baseLoad is that outside bursts and
-// steps, and at the peak of a day.
-func (s Pattern) loadAt(at, duration time.Duration, baseLoad float64) float64 {
+// loadAt returns the load at a time of a run as a part of capacity. baseLoad is the load
+// outside bursts and steps, and at the peak of a day.
+func (p Pattern) loadAt(at, duration time.Duration, baseLoad float64) float64 {
 	changeAt := time.Duration(burstStart * float64(duration))
 	switch {
-	case s == Bursty && at >= changeAt && at < changeAt+burstDuration:
+	case p == Bursty && at >= changeAt && at < changeAt+burstDuration:
 		return burstLoad
-	case s == Step && at < changeAt:
+	case p == Step && at < changeAt:
 		return loadBeforeStep
-	case s == Step:
+	case p == Step:
 		return loadAfterStep
-	case s == Diurnal:
+	case p == Diurnal:
 		day := (1 - math.Cos(2*math.Pi*float64(at)/float64(duration))) / 2
 		return baseLoad * (nightLoad + (1-nightLoad)*day)
 	}
--- a/lab/load/central_queue.go
+++ b/lab/load/central_queue.go
@@ -8,8 +8,8 @@
 
 // CentralQueue computes the response ratios of an ideal dispatcher for a plan: one queue in front of all
 // slots, ordered by class and arrival, with perfect knowledge and no messages. No real dispatcher
-// without preemption does better on average, so it is a bound to compare with. Its quantiles cover all
-// requests of the plan.
+// without preemption does better on average, so it is a lower bound to compare with.
+// Its quantiles cover all requests of the plan.
 func CentralQueue(mix Mix, plan []Arrival, slots int) Quantiles {
 	q := &centralQueue{freeSlots: slots}
 	for i := range plan {
--- a/lab/load/faults.go
+++ b/lab/load/faults.go
@@ -83,13 +83,13 @@
 // applyToBackend sets the faults of a worker's backend server. It does nothing if the worker does not
 // run.
 func (f Fault) applyToBackend(c *cluster.Cluster, faults backendserver.Faults) {
-	n := c.RunningWorker(f.Worker)
-	if n == nil {
+	worker := c.RunningWorker(f.Worker)
+	if worker == nil {
 		return
 	}
-	n.Server.SetFaults(faults)
+	worker.Server.SetFaults(faults)
 	if f.For > 0 {
-		time.AfterFunc(f.For.Std(), func() { n.Server.SetFaults(backendserver.Faults{}) })
+		time.AfterFunc(f.For.Std(), func() { worker.Server.SetFaults(backendserver.Faults{}) })
 	}
 }
 
--- a/lab/load/report.go
+++ b/lab/load/report.go
@@ -37,7 +37,8 @@
 	Seed   uint64 `json:"seed"`
 	// ResponseRatio has the response ratios without those of the flooding team.
 	ResponseRatio Ratios `json:"response_ratio"`
-	// CentralQueue has the response ratios of the function CentralQueue, a bound to compare with.
+	// CentralQueue has the response ratios of the function CentralQueue, a lower bound to
+	// compare with.
 	CentralQueue Quantiles `json:"central_queue"`
 	// FloodRatio has the response ratios of the flooding team, if there is one.
 	FloodRatio *Quantiles `json:"flood_ratio,omitempty"`
@@ -186,13 +187,13 @@
 // atMostOnceTasks returns a function that reports whether a task of the journal must not be started
 // twice.
 func (r *run) atMostOnceTasks() func(string) bool {
-	once := make(map[string]bool)
+	atMostOnce := make(map[string]bool)
 	for _, a := range r.options.Plan {
-		once[a.Key] = r.options.Mix.Kinds[a.Kind].AtMostOnce
+		atMostOnce[a.Key] = r.options.Mix.Kinds[a.Kind].AtMostOnce
 	}
 	return func(task string) bool {
 		key, _, _ := strings.Cut(task, "/")
-		return once[key]
+		return atMostOnce[key]
 	}
 }
 
@@ -207,8 +208,8 @@
 func (r *run) countMessages(report *Report) {
 	time.Sleep(time.Second) // entries publish their counters once a second
 	var sum dispatch.Stats
-	for _, m := range r.cluster.Entries() {
-		stats := m.Entry.Stats()
+	for _, e := range r.cluster.Entries() {
+		stats := e.Entry.Stats()
 		sum.Ran += stats.Ran
 		sum.MessagesSent += stats.MessagesSent
 		sum.WastedRefused += stats.WastedRefused
@@ -237,10 +238,10 @@
 func (r *run) addWorkerUsage(report *Report) {
 	report.PeakByWorker = make(map[string]int)
 	report.BusyByWorker = make(map[string]float64)
-	for _, n := range r.cluster.RunningWorkers() {
-		peak, busy := n.Server.Usage()
-		report.PeakByWorker[n.Worker] = peak
-		report.BusyByWorker[n.Worker] = busy.Seconds()
+	for _, worker := range r.cluster.RunningWorkers() {
+		peak, busy := worker.Server.Usage()
+		report.PeakByWorker[worker.Worker] = peak
+		report.BusyByWorker[worker.Worker] = busy.Seconds()
 	}
 	report.AwakeSeconds = r.cluster.Workers.AwakeSeconds()
 	report.IdealAwakeByTime = r.idealAwake()
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -26,18 +26,19 @@
 type Options struct {
 	// Mix has the kinds of requests that Plan and Flood refer to.
 	Mix Mix
-	// Spec describes the deployment; its Policy and Seed are replaced by those below.
+	// Spec describes the deployment. Run replaces its Policy and Seed with those of the Options.
 	Spec cluster.Spec
-	// Plan are the requests to send.
+	// Plan lists the requests to send, in order of time.
 	Plan   []Arrival
 	Faults []Fault
 	// Policy is the policy by which entries choose agents.
 	Policy rank.Policy
 	// Duration is the time that the plan covers.
 	Duration time.Duration
-	// Seed seeds the deployment, and is in the report.
+	// Seed seeds the deployment and is written to the report.
 	Seed uint64
-	// Flood are the requests of a second team, FloodTeam, which sends more than its share; may be empty.
+	// Flood lists the requests of a second team, FloodTeam, which sends more than its share; may be
+	// empty.
 	Flood []Arrival
 	// Deadline is the time that each request has from its sending to its answer.
 	Deadline time.Duration
@@ -76,7 +77,7 @@
 	options Options
 	cluster *cluster.Cluster
 	clients []*caller.Client
-	// takesRequests tells of each entry whether its last health check succeeded, so that the balancer
+	// takesRequests holds for each entry whether its last health check succeeded, so that the balancer
 	// sends requests to it.
 	takesRequests []atomic.Bool
 	// startedAt is the time that planned times of arrival count from.
@@ -115,8 +116,8 @@
 
 func newRun(o Options, c *cluster.Cluster) *run {
 	r := &run{options: o, cluster: c}
-	for _, m := range c.Entries() {
-		r.clients = append(r.clients, caller.New(m.Entry.Address(), o.Mix.Team))
+	for _, e := range c.Entries() {
+		r.clients = append(r.clients, caller.New(e.Entry.Address(), o.Mix.Team))
 	}
 	r.takesRequests = make([]atomic.Bool, len(r.clients))
 	for i := range r.takesRequests {
@@ -151,8 +152,8 @@
 	clients := r.clients
 	if flood {
 		clients = nil
-		for _, m := range r.cluster.Entries() {
-			clients = append(clients, caller.New(m.Entry.Address(), FloodTeam))
+		for _, e := range r.cluster.Entries() {
+			clients = append(clients, caller.New(e.Entry.Address(), FloodTeam))
 		}
 	}
 	for i := range arrivals {
--- a/lab/platformstandin/http.go
+++ b/lab/platformstandin/http.go
@@ -29,7 +29,7 @@
 	return s
 }
 
-// Serve accepts connections until Close.
+// Serve accepts connections until Close is called.
 func (s *Server) Serve(l net.Listener) error { return s.http.Serve(l) }
 
 // Close stops the server after it has answered its open requests.
--- a/lab/platformstandin/workers.go
+++ b/lab/platformstandin/workers.go
@@ -9,8 +9,8 @@
 	"peridotpick.example/common/table"
 )
 
-// Workers is the fake power control of the platform. A worker is asleep, waking or awake. It is safe for
-// concurrent use.
+// Workers is the fake power control of the platform. A worker is asleep, waking or awake. Workers is
+// safe for concurrent use.
 type Workers struct {
 	mu      sync.Mutex
 	workers map[string]*workerPower
@@ -21,7 +21,7 @@
 	endedAwakeSeconds float64
 }
 
-// workerPower is a worker and the time since which its power state is as it is.
+// workerPower is a worker and the time of its last change of power state.
 type workerPower struct {
 	worker table.Worker
 	since  time.Time
