--- a/cmd/peridotpick/load.go
+++ b/cmd/peridotpick/load.go
@@ -96,7 +96,7 @@
 	if err := checkPolicy(cmd.String("policy")); err != nil {
 		return o, err
 	}
-	o.Spec.Asleep = cmd.Int("asleep")
+	o.Spec.SleepingWorkers = cmd.Int("asleep")
 	if n := cmd.Int("entries"); n > 0 {
 		o.Spec.Entries = n
 	}
--- a/core/dispatch/stats.go
+++ b/core/dispatch/stats.go
@@ -62,8 +62,8 @@
 	Agent      rank.ID
 	// RunnerUp is the agent with the second best expected finish.
 	RunnerUp rank.ID
-	// ExpectedTime and RunnerUpExpectedTime are the expected times to completion at Agent and RunnerUp; zero if
-	// the agents were not ranked.
+	// ExpectedTime and RunnerUpExpectedTime are the expected times to completion at Agent and
+	// RunnerUp; zero if the agents were not ranked.
 	ExpectedTime, RunnerUpExpectedTime time.Duration
 	// Reason is set for refusals, retries and ejections.
 	Reason errkind.Kind
--- a/core/dispatch/takeover.go
+++ b/core/dispatch/takeover.go
@@ -93,7 +93,7 @@
 // messages.
 const maxOwnerTimeouts = 2
 
-// PeerReplied handles the result of a OwnerQuery. owner is the incarnation that was asked; reply is
+// PeerReplied handles the result of an OwnerQuery. owner is the incarnation that was asked; reply is
 // valid with PeerAnswered only.
 func (c *Core) PeerReplied(now time.Time, name string, owner uint64, status PeerStatus, reply *wire.AwaitReply) {
 	sub := c.submissions[name]
--- a/lab/caller/caller.go
+++ b/lab/caller/caller.go
@@ -247,8 +247,8 @@
 // String returns the base address, for messages.
 func (c *Client) String() string { return fmt.Sprintf("entry at %s", c.base) }
 
-// Refused reports whether err means that nothing listens at the address.
-func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// IsConnectionRefused reports whether err means that nothing listens at the address.
+func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // healthTimeout bounds one health check.
 const healthTimeout = time.Second
--- a/lab/capacity/capacity.go
+++ b/lab/capacity/capacity.go
@@ -243,7 +243,7 @@
 	defer c.Stop()
 	readyCtx, cancelReady := context.WithTimeout(ctx, readyTimeout)
 	defer cancelReady()
-	if err := c.Ready(readyCtx); err != nil {
+	if err := c.WaitReady(readyCtx); err != nil {
 		return Sample{}, err
 	}
 	loadCtx, stopLoad := context.WithTimeout(ctx, settleTime+sampleTime)
--- a/lab/cluster/bench_test.go
+++ b/lab/cluster/bench_test.go
@@ -29,7 +29,7 @@
 	b.Cleanup(c.Stop)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	if err := c.Ready(ctx); err != nil {
+	if err := c.WaitReady(ctx); err != nil {
 		b.Fatal(err)
 	}
 	return c
@@ -184,7 +184,7 @@
 // started and has no configuration yet serves no request and does not count.
 func inForce(c *Cluster, version uint64) bool {
 	for _, e := range c.Entries() {
-		if v := e.Entry.ConfigVersion(); e.Running() && v != 0 && v < version {
+		if v := e.Entry.ConfigVersion(); e.IsRunning() && v != 0 && v < version {
 			return false
 		}
 	}
@@ -195,7 +195,7 @@
 // leaving or has crashed, and reports the slowest of each.
 func BenchmarkMembership(b *testing.B) {
 	c := startBenchCluster(b, func(s *Spec) {
-		s.Asleep = 1
+		s.SleepingWorkers = 1
 		s.WakeTime = time.Hour
 		s.Document.Policy.MinAwake = 0
 		s.Document.Policy.Headroom = 0
--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -54,8 +54,8 @@
 	// Credentials turns development mode off at the entries, so that callers need tokens; processes
 	// still connect without TLS on loopback.
 	Credentials bool
-	// Asleep is the number of workers asleep at the start, the last ones in the worker list.
-	Asleep int
+	// SleepingWorkers is the number of workers asleep at the start, the last ones in the worker list.
+	SleepingWorkers int
 	// WakeTime is the time that a worker takes to wake.
 	WakeTime time.Duration
 	// WriteLatency is the mean time of a write to the table service.
@@ -90,8 +90,8 @@
 	done    chan struct{}
 }
 
-// Running reports whether the entry has not ended.
-func (e *EntryInstance) Running() bool {
+// IsRunning reports whether the entry has not ended.
+func (e *EntryInstance) IsRunning() bool {
 	select {
 	case <-e.done:
 		return false
@@ -134,7 +134,7 @@
 const loopback = "127.0.0.1:0"
 
 // Start stores the deployment's configuration and starts its entries and agents. It does not wait until
-// they are connected; see Ready.
+// they are connected; see WaitReady.
 func Start(spec Spec) (*Cluster, error) {
 	if spec.Logs == nil {
 		spec.Logs = logs.Discard()
@@ -159,7 +159,7 @@
 		}
 	}
 	for i, w := range c.workerList() {
-		if i < spec.Agents-spec.Asleep {
+		if i < spec.Agents-spec.SleepingWorkers {
 			if err := c.StartWorker(w.ID); err != nil {
 				return nil, err
 			}
@@ -180,8 +180,8 @@
 	return nil
 }
 
-// Platform returns the IP:port of the fake platform.
-func (c *Cluster) Platform() string { return c.platformAddress }
+// PlatformAddress returns the IP:port of the fake platform.
+func (c *Cluster) PlatformAddress() string { return c.platformAddress }
 
 // storeConfig checks the configuration and writes it to the table service as version 1.
 func (c *Cluster) storeConfig() error {
@@ -204,7 +204,7 @@
 	for i := range list {
 		rack := i / max(1, s.RackSize)
 		power := table.PowerAwake
-		if i >= s.Agents-s.Asleep {
+		if i >= s.Agents-s.SleepingWorkers {
 			power = table.PowerAsleep
 		}
 		list[i] = table.Worker{
@@ -353,9 +353,9 @@
 	return running
 }
 
-// Ready waits until every running entry has a configuration and its average share of the links that
+// WaitReady waits until every running entry has a configuration and its average share of the links that
 // the agents make at their default fan-out. It fails if ctx ends first.
-func (c *Cluster) Ready(ctx context.Context) error {
+func (c *Cluster) WaitReady(ctx context.Context) error {
 	for {
 		if c.isReady() {
 			return nil
@@ -368,11 +368,11 @@
 	}
 }
 
-// isReady reports whether the condition of Ready is met.
+// isReady reports whether the condition of WaitReady is met.
 func (c *Cluster) isReady() bool {
 	want := len(c.RunningWorkers())
 	for _, e := range c.Entries() {
-		if !e.Running() {
+		if !e.IsRunning() {
 			continue
 		}
 		if e.Entry.LinkedAgents() < min(want, want*settings.DefaultAgent().Fanout/max(1, c.runningEntries())) || !e.Entry.IsConfigured() {
@@ -386,7 +386,7 @@
 func (c *Cluster) runningEntries() int {
 	n := 0
 	for _, e := range c.Entries() {
-		if e.Running() {
+		if e.IsRunning() {
 			n++
 		}
 	}
--- a/lab/cluster/guarantees_test.go
+++ b/lab/cluster/guarantees_test.go
@@ -34,7 +34,7 @@
 	t.Cleanup(c.Stop)
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	if err := c.Ready(ctx); err != nil {
+	if err := c.WaitReady(ctx); err != nil {
 		t.Fatal(err)
 	}
 	return c
@@ -310,7 +310,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
-	is.NoErr(c.Ready(ctx))
+	is.NoErr(c.WaitReady(ctx))
 	for entry := 3; entry < 6; entry++ {
 		_, err := c.clientOf(entry).Call(AssociationService, "allergen-flag", "", 10*time.Second, []byte(`{"runMs":5}`))
 		is.NoErr(err)
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -93,7 +93,7 @@
 	defer c.Stop()
 	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := c.Ready(readyCtx); err != nil {
+	if err := c.WaitReady(readyCtx); err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "%s: %d entries, %d backend servers of %d slots in %v\n",
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -64,7 +64,7 @@
 	defer c.Stop()
 	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := c.Ready(readyCtx); err != nil {
+	if err := c.WaitReady(readyCtx); err != nil {
 		return nil, err
 	}
 	r := newRun(o, c)
@@ -220,7 +220,7 @@
 	if errors.As(err, &failure) {
 		return failure.Kind() == errkind.Draining
 	}
-	return err != nil && caller.Refused(err)
+	return err != nil && caller.IsConnectionRefused(err)
 }
 
 // sendTo sends a request to one entry, as a call if its kind has single tasks and as a job otherwise,
