--- a/lab/emulator/lost_stops_test.go
+++ b/lab/emulator/lost_stops_test.go
@@ -49,10 +49,10 @@
 	simulateSeeds(t, *seeds, simulateLostStops, func(*simulation) {})
 }
 
-// TestLostStopRegressions runs seeds that violate a guarantee in these cases: the first six if lost
-// stops are not handled, the next four if the lease of a run whose stops get no answer is renewed,
-// and the last three if an end of a run of the previous agent process is taken for one of the
-// present process.
+// TestLostStopRegressions runs seeds that violate a guarantee in these cases: the first six if an
+// end counts from any agent or the lease of a worker outlasts a run whose stops get no answer, the
+// next four if the lease of such a run is renewed, and the last three if an end of a run of the
+// previous agent process is taken for one of the present process.
 func TestLostStopRegressions(t *testing.T) {
 	for _, seed := range []uint64{23, 73, 101, 668, 751, 906, 212, 805, 1036, 1288, 201, 291, 1417} {
 		for _, v := range simulateLostStops(seed).checker.violations {
