--- a/service/batch/peers_test.go
+++ b/service/batch/peers_test.go
@@ -3,7 +3,9 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net"
+	"os"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -71,9 +73,12 @@
 	return &Document{Raw: []byte{byte(version)}, Catalog: catalog.New(version, catalog.Limits{}, nil)}
 }
 
+// freeAddress returns an address on a loopback IP that only this process uses, so that no connection
+// of another process can take its port before the entry listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	pid := os.Getpid()
+	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.1:0", 16+pid>>8%200, pid%256))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/service/runner/directory_test.go
+++ b/service/runner/directory_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"net"
+	"os"
 	"sync"
 	"sync/atomic"
 	"testing"
@@ -37,9 +38,12 @@
 	knownEntries []runs.Entry
 }
 
+// newFakeEntry returns a stopped entry with an address of its own: no connection of another process
+// can take its port before start, since the loopback IP is used by this process only.
 func newFakeEntry(t *testing.T, n int) *fakeEntry {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	pid := os.Getpid()
+	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 16+pid>>8%200, pid%256, n+1))
 	if err != nil {
 		t.Fatal(err)
 	}
